--- a/internal/fleet/duty/list/list.go
+++ b/internal/fleet/duty/list/list.go
@@ -182,6 +182,9 @@
 	if old == nil {
 		c.order = append(c.order, e.Name)
 	} else if old.Status == e.Status && bytes.Equal(old.Text, e.Text) {
+		// Named again: it changed and changed back. A subscriber at a version in between
+		// has the other state, and needs this one.
+		old.changed = version
 		return
 	} else if old.Status == statusLeft {
 		c.departed--
--- a/internal/fleet/duty/list/list_test.go
+++ b/internal/fleet/duty/list/list_test.go
@@ -155,6 +155,34 @@
 	}
 }
 
+// A server that has left returns and leaves again within one delta, which names it
+// with the very text of before. A host at the version in between is sent that it left.
+func TestDeltaThatRestoresAnEntryReachesTheVersionInBetween(t *testing.T) {
+	update := func(from, version int64, status string) Update {
+		return Update{Source: "d", From: from, Version: version, Entries: []Entry{{Name: "s", Status: status, Text: text("s", status+" 1")}}}
+	}
+	sender, host := NewCache("d"), NewCache("d")
+	for _, step := range []struct {
+		cache  *Cache
+		update Update
+	}{
+		{sender, update(0, 1, "active")},
+		{sender, update(1, 2, "left")},
+		{host, update(0, 3, "active")},
+		{sender, update(2, 4, "left")},
+	} {
+		if _, err := step.cache.Apply(step.update); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := host.Apply(sender.Since(host.Version)); err != nil {
+		t.Fatal(err)
+	}
+	if got := snapshot(host); host.Version != 4 || len(got) != 0 {
+		t.Errorf("at version %d the host has %v, wanted version 4 and no server", host.Version, got)
+	}
+}
+
 // Servers that have left are not remembered without bound; who asks for changes from
 // before then gets a snapshot.
 func TestDepartedServersAreForgotten(t *testing.T) {
