--- a/internal/fleet/duty/list/list.go
+++ b/internal/fleet/duty/list/list.go
@@ -61,6 +61,12 @@
 	Endpoints []json.RawMessage `json:"endpoints"`
 }
 
+// wireEntry is what is read of a server's entry; the rest is relayed as it is.
+type wireEntry struct {
+	Name   string `json:"name"`
+	Status string `json:"status"`
+}
+
 // Decode reads discovery's answer to a request for the changes since a version, or
 // for a snapshot where since is 0. It is strict: an answer with one entry that can't
 // be read is refused as a whole.
@@ -79,7 +85,7 @@
 		return Update{}, errors.New("list: found changes, wanted the whole list")
 	}
 	for i, t := range w.Endpoints {
-		var e struct{ Name, Status string }
+		var e wireEntry
 		if err := json.Unmarshal(t, &e); err != nil || e.Name == "" || !slices.Contains(statuses, e.Status) {
 			return Update{}, fmt.Errorf("list: endpoint %d: found %.60q, wanted a name and a status", i, t)
 		}
