--- /dev/null
+++ b/internal/fleet/duty/list/wire_test.go
@@ -0,0 +1,63 @@
+package list
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"otterspring/internal/keytest"
+)
+
+var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures anew instead of comparing them")
+
+func TestKeys(t *testing.T) {
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
+		{Role: "update of the endpoint list", Encoding: "json", Value: wireUpdate{}},
+		{Role: "entry of the endpoint list", Encoding: "json", Value: wireEntry{}},
+	})
+}
+
+// The fixtures were encoded by the version before the renaming: each is read, and
+// written back byte for byte, directly and from a cache.
+func TestFixturesAreWrittenBack(t *testing.T) {
+	cache := NewCache("d")
+	for _, fixture := range []struct {
+		file  string
+		since int64
+	}{
+		{"snapshot.json", 0},
+		{"delta.json", 41},
+	} {
+		path := filepath.Join("testdata", fixture.file)
+		if *updateFixtures {
+			update := Update{Source: "d", From: fixture.since, Version: 41, Entries: []Entry{capacityEntry(1, statusActive, 1764633600000), capacityEntry(2, statusLeaving, 1764633600001)}}
+			if fixture.since > 0 {
+				update.Version = 43
+				update.Entries = []Entry{capacityEntry(2, statusLeft, 1764633600001), capacityEntry(3, statusActive, 1764633600002)}
+			}
+			if err := os.WriteFile(path, update.Encode(), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		update, err := Decode(text, "d", fixture.since)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := update.Encode(); !bytes.Equal(got, text) {
+			t.Errorf("%s: written back as %s, wanted %s", fixture.file, got, text)
+		}
+		if _, err := cache.Apply(update); err != nil {
+			t.Fatal(err)
+		}
+		sent := cache.Since(fixture.since)
+		if got := sent.Encode(); !bytes.Equal(got, text) {
+			t.Errorf("%s: written by the cache as %s, wanted %s", fixture.file, got, text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/everywhere/recording_test.go
@@ -0,0 +1,66 @@
+package everywhere
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+)
+
+// The decisions on drawn states of a fleet are recorded, so that they stay the same
+// when the code that makes them is rewritten. Of the texts for operators it is
+// recorded that there is one.
+func TestRecordedDecisions(t *testing.T) {
+	const path = "testdata/recording.txt"
+	var recording strings.Builder
+	for seed := range uint64(100) {
+		rng := rand.New(rand.NewPCG(seed, 11))
+		var decisions strings.Builder
+		for range 100 {
+			d := recordedDecision(rng)
+			fmt.Fprintf(&decisions, "%v %t %t %t %d %d\n", d.Steps, d.End != "", d.Wait != "", d.Back, d.Done, d.Of)
+		}
+		fmt.Fprintf(&recording, "%d %x\n", seed, sha256.Sum256([]byte(decisions.String())))
+	}
+	if *updateFixtures {
+		if err := os.WriteFile(path, []byte(recording.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := recording.String(), string(text); got != want {
+		t.Errorf("the decisions differ from %s: found\n%s", path, got)
+	}
+}
+
+func recordedDecision(rng *rand.Rand) Decision {
+	order := Order{AtOnce: rng.IntN(4), ZoneOnce: rng.IntN(3), Reload: rng.IntN(3) == 0}
+	if rng.IntN(2) == 0 {
+		order.Program = "new"
+	}
+	note := Note{Order: "o1", Back: rng.IntN(3) == 0, Before: map[string]string{}}
+	orders := []string{"", "o0", "o1", BackID("o1")}
+	failing := rng.IntN(3) == 0
+	var hosts []Host
+	for h := range rng.IntN(6) {
+		host := Host{Name: fmt.Sprintf("h%d", 5-h), Zone: fmt.Sprint(rng.IntN(3)), Reached: rng.IntN(20) > 0}
+		note.Before[host.Name] = "old" + host.Name
+		if rng.IntN(5) == 0 {
+			host.Rolling = "restart"
+		}
+		for i := range rng.IntN(4) {
+			instance := Instance{Name: fmt.Sprint(i), Up: rng.IntN(5) > 0, Order: orders[rng.IntN(len(orders))]}
+			if failing && rng.IntN(6) == 0 {
+				instance.Failed = orders[rng.IntN(len(orders))]
+			}
+			host.Instances = append(host.Instances, instance)
+		}
+		hosts = append(hosts, host)
+	}
+	return Next("o1", order, note, hosts)
+}
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -38,6 +38,7 @@
 	starts []time.Duration
 	said   []string
 	kept   int
+	record func(Action) // called with each action before it is done; nil for none
 	// How processes behave; the arguments are the instance and whether the
 	// process is of what is rolled out.
 	ready func(i int, isNew bool) time.Duration // until ready; 0 for never
@@ -62,6 +63,9 @@
 
 func (w *world) do(acts []Action) {
 	for _, a := range acts {
+		if w.record != nil {
+			w.record(a)
+		}
 		switch a.Kind {
 		case Start:
 			q := &fakeProc{instance: a.Instance, isNew: a.New}
