--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -19,7 +19,7 @@
 	"otterspring/internal/cli"
 	"otterspring/internal/fleet/council"
 	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/everywhere"
+	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/fleet/supervisor"
 )
 
@@ -66,7 +66,7 @@
 func rolls(name, does string, out io.Writer) *cobra.Command {
 	var wait, all bool
 	var program string
-	order := everywhere.Order{}
+	order := rollout.Request{}
 	c := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: does, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
@@ -94,8 +94,8 @@
 	}
 	if name == "restart" || name == "reload" {
 		c.Flags().BoolVar(&all, "everywhere", false, name+" on all hosts of the file's council, by its owner")
-		c.Flags().IntVar(&order.AtOnce, "at-once", 1, "with -everywhere: instances that may be under way in the fleet")
-		c.Flags().IntVar(&order.ZoneOnce, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no bound of its own")
+		c.Flags().IntVar(&order.MaxConcurrent, "at-once", 1, "with -everywhere: instances that may be under way in the fleet")
+		c.Flags().IntVar(&order.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no bound of its own")
 	}
 	return c
 }
@@ -163,14 +163,14 @@
 
 // restartEverywhere gives the council an order and, where that is wanted, shows how
 // it goes until it has ended.
-func restartEverywhere(f *supervisor.File, order everywhere.Order, names []string, wait bool, out io.Writer) error {
+func restartEverywhere(f *supervisor.File, order rollout.Request, names []string, wait bool, out io.Writer) error {
 	switch {
 	case f.Council.Name == "":
 		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", f.Path)
 	case len(names) > 0:
 		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, names[0])
-	case order.AtOnce < 1 || order.AtOnce > 100 || order.ZoneOnce < 0:
-		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.AtOnce, order.ZoneOnce)
+	case order.MaxConcurrent < 1 || order.MaxConcurrent > 100 || order.MaxConcurrentPerZone < 0:
+		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.MaxConcurrent, order.MaxConcurrentPerZone)
 	}
 	c := ask.NewClient(f.Council.Name, f.Council.Members)
 	defer c.Close()
@@ -212,11 +212,11 @@
 		}
 		line := ""
 		if d := a.State.Duties[supervisor.Duty]; d != nil && d.Note != nil {
-			var n everywhere.Note
-			if json.Unmarshal(d.Note, &n) == nil && n.Order == id {
-				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Done, n.Of, d.Owner, d.Epoch)
-				if n.Wait != "" {
-					line += ": " + n.Wait
+			var n rollout.Checkpoint
+			if json.Unmarshal(d.Note, &n) == nil && n.RolloutID == id {
+				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Completed, n.Total, d.Owner, d.Epoch)
+				if n.Waiting != "" {
+					line += ": " + n.Waiting
 				}
 			}
 		}
--- a/internal/fleet/duty/list/capacity_test.go
+++ b/internal/fleet/endpointlist/capacity_test.go
@@ -1,4 +1,4 @@
-package list
+package endpointlist
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	name := fmt.Sprintf("s-%08x", i)
 	text := fmt.Sprintf(`{"name":%q,"address":"10.1.%d.%d:8443","zone":"a","type":"m2","group":%d,"status":%q,"weight":1.0,"since_ms":%d}`,
 		name, i>>8, i&0xff, i/3, status, since)
-	return Entry{Name: name, Status: status, Text: []byte(text)}
+	return Entry{Name: name, Status: status, JSON: []byte(text)}
 }
 
 func capacityUpdate(servers int) Update {
--- a/internal/fleet/duty/list/list.go
+++ b/internal/fleet/endpointlist/endpointlist.go
@@ -7,7 +7,7 @@
 // what is newer than what it has: an owner that was suspended and resumes can't undo
 // a drain, revive a server that has left, or make a cold one warm, with or without a
 // fence in its way.
-package list
+package endpointlist
 
 import (
 	"bytes"
@@ -42,7 +42,7 @@
 type Entry struct {
 	Name    string
 	Status  string
-	Text    json.RawMessage // the whole entry
+	JSON    json.RawMessage // the whole entry
 	changed int64           // version of its latest change
 }
 
@@ -89,7 +89,7 @@
 		if err := json.Unmarshal(t, &e); err != nil || e.Name == "" || !slices.Contains(statuses, e.Status) {
 			return Update{}, fmt.Errorf("list: endpoint %d: found %.60q, wanted a name and a status", i, t)
 		}
-		u.Entries = append(u.Entries, Entry{Name: e.Name, Status: e.Status, Text: t})
+		u.Entries = append(u.Entries, Entry{Name: e.Name, Status: e.Status, JSON: t})
 	}
 	return u, nil
 }
@@ -99,7 +99,7 @@
 	snapshot := u.From == 0
 	w := wireUpdate{Index: &u.Version, Snapshot: &snapshot, Endpoints: make([]json.RawMessage, 0, len(u.Entries))}
 	for _, e := range u.Entries {
-		w.Endpoints = append(w.Endpoints, e.Text)
+		w.Endpoints = append(w.Endpoints, e.JSON)
 	}
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	for _, name := range c.order {
 		if e := c.entries[name]; !named[name] && e.Status != statusLeft {
-			c.put(Entry{Name: name, Status: statusLeft, Text: withStatusLeft(e.Text)}, version)
+			c.put(Entry{Name: name, Status: statusLeft, JSON: withStatusLeft(e.JSON)}, version)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	old := c.entries[e.Name]
 	if old == nil {
 		c.order = append(c.order, e.Name)
-	} else if old.Status == e.Status && bytes.Equal(old.Text, e.Text) {
+	} else if old.Status == e.Status && bytes.Equal(old.JSON, e.JSON) {
 		// Named again: it changed and changed back. A subscriber at a version in between
 		// has the other state, and needs this one.
 		old.changed = version
@@ -275,10 +275,10 @@
 // Answered records an answer of discovery.
 func (w *Watcher) Answered(now time.Duration) { w.answeredAt, w.initialized = now, true }
 
-// SetOwner says whether this host owns the duty. A host that gives it up waits a whole
+// SetLeader says whether this host owns the duty. A host that gives it up waits a whole
 // heartbeat timeout for the next owner; one that takes it over relies at first on
 // the last heartbeat of the owner before.
-func (w *Watcher) SetOwner(owner bool, now time.Duration) {
+func (w *Watcher) SetLeader(owner bool, now time.Duration) {
 	if w.owner && !owner {
 		w.heartbeatAt = now
 	}
--- a/internal/fleet/duty/list/list_test.go
+++ b/internal/fleet/endpointlist/endpointlist_test.go
@@ -1,4 +1,4 @@
-package list
+package endpointlist
 
 import (
 	"encoding/json"
@@ -46,7 +46,7 @@
 			Status string
 			Since  int64 `json:"since_ms"`
 		}
-		json.Unmarshal(e.Text, &v)
+		json.Unmarshal(e.JSON, &v)
 		all[e.Name] = fmt.Sprintf("%s %d", v.Status, v.Since)
 	}
 	return all
@@ -134,7 +134,7 @@
 	whole := func(version int64, names ...string) Update {
 		u := Update{Source: "d", Version: version}
 		for _, n := range names {
-			u.Entries = append(u.Entries, Entry{Name: n, Status: "active", Text: text(n, "active 1")})
+			u.Entries = append(u.Entries, Entry{Name: n, Status: "active", JSON: text(n, "active 1")})
 		}
 		return u
 	}
@@ -159,7 +159,7 @@
 // with the very text of before. A host at the version in between is sent that it left.
 func TestDeltaThatRestoresAnEntryReachesTheVersionInBetween(t *testing.T) {
 	update := func(from, version int64, status string) Update {
-		return Update{Source: "d", From: from, Version: version, Entries: []Entry{{Name: "s", Status: status, Text: text("s", status+" 1")}}}
+		return Update{Source: "d", From: from, Version: version, Entries: []Entry{{Name: "s", Status: status, JSON: text("s", status+" 1")}}}
 	}
 	sender, host := NewCache("d"), NewCache("d")
 	for _, step := range []struct {
@@ -187,12 +187,12 @@
 // before then gets a snapshot.
 func TestDepartedServersAreForgotten(t *testing.T) {
 	c := NewCache("d")
-	if _, err := c.Apply(Update{Source: "d", Version: 1, Entries: []Entry{{Name: "s", Status: "active", Text: text("s", "active 1")}}}); err != nil {
+	if _, err := c.Apply(Update{Source: "d", Version: 1, Entries: []Entry{{Name: "s", Status: "active", JSON: text("s", "active 1")}}}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range MaxDeparted + 100 {
 		name := fmt.Sprint("x", i)
-		if _, err := c.Apply(Update{Source: "d", From: c.Version, Version: c.Version + 1, Entries: []Entry{{Name: name, Status: "left", Text: text(name, "left 1")}}}); err != nil {
+		if _, err := c.Apply(Update{Source: "d", From: c.Version, Version: c.Version + 1, Entries: []Entry{{Name: name, Status: "left", JSON: text(name, "left 1")}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -259,7 +259,7 @@
 			t.Fatal("watches though it receives heartbeats")
 		}
 		// An owner relies on discovery's answers alone: its own heartbeats are no news.
-		w.SetOwner(true, 10*time.Second)
+		w.SetLeader(true, 10*time.Second)
 		if !w.ShouldWatch(10*time.Second) || !w.Fresh(12*time.Second) || w.Fresh(13*time.Second+1) {
 			t.Fatal("an owner relies on the one before for the staleness limit, and no longer")
 		}
@@ -267,7 +267,7 @@
 		if w.Fresh(13*time.Second + 1) {
 			t.Fatal("an owner without an answer is fresh by its own heartbeat")
 		}
-		w.SetOwner(false, 20*time.Second)
+		w.SetLeader(false, 20*time.Second)
 		if w.ShouldWatch(21 * time.Second) {
 			t.Fatal("watches a second after it gave the duty up")
 		}
--- a/internal/fleet/duty/list/wire_test.go
+++ b/internal/fleet/endpointlist/wire_test.go
@@ -1,4 +1,4 @@
-package list
+package endpointlist
 
 import (
 	"bytes"
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/lifecycle/lifecycle.go
@@ -2,7 +2,7 @@
 // who is restarted or reloaded next, when a roll pauses, and when an instance
 // is given up. It does no I/O and has no clock: events come in with their times,
 // actions go out.
-package plan
+package lifecycle
 
 import (
 	"fmt"
@@ -13,26 +13,26 @@
 
 // Config are the rules of a fleet.
 type Config struct {
-	// Gap is the least time between two starts, so that what the instances ask
+	// StartInterval is the least time between two starts, so that what the instances ask
 	// of discovery stays under its capacity.
-	Gap time.Duration
-	// ReadyWithin is how long a process may take until it is ready.
-	ReadyWithin time.Duration
-	// EndWithin is how long a process may take to end after SIGTERM, or an old
+	StartInterval time.Duration
+	// ReadyTimeout is how long a process may take until it is ready.
+	ReadyTimeout time.Duration
+	// ShutdownTimeout is how long a process may take to end after SIGTERM, or an old
 	// one after a hand-over, before it is killed.
-	EndWithin time.Duration
-	// AtOnce is how many instances are rolled at a time.
-	AtOnce int
-	// HandOver restarts by a new process that takes the listener over.
-	HandOver bool
-	// PauseAfter failed rolls in a row a roll pauses by itself.
-	PauseAfter int
-	// A crashed instance starts again after BackoffFirst, doubled with each
-	// further crash up to BackoffMost. LoopCrashes within LoopWithin are a crash
+	ShutdownTimeout time.Duration
+	// MaxConcurrent is how many instances are rolled at a time.
+	MaxConcurrent int
+	// Handover restarts by a new process that takes the listener over.
+	Handover bool
+	// PauseAfterFailures failed rolls in a row a roll pauses by itself.
+	PauseAfterFailures int
+	// A crashed instance starts again after InitialBackoff, doubled with each
+	// further crash up to MaxBackoff. CrashLoopCount within CrashLoopWindow are a crash
 	// loop: the instance is given up until it is restarted by hand.
-	BackoffFirst, BackoffMost time.Duration
-	LoopCrashes               int
-	LoopWithin                time.Duration
+	InitialBackoff, MaxBackoff time.Duration
+	CrashLoopCount             int
+	CrashLoopWindow            time.Duration
 }
 
 // Phase is where an instance is.
@@ -40,15 +40,15 @@
 
 // The phases.
 const (
-	Down        Phase = iota // no process; it starts when its turn comes
-	Starting                 // a process runs and is not ready yet
-	Up                       // ready
-	Reloading                // told to reload, not ready again yet
-	HandingOver              // a new process runs beside the old one
-	Draining                 // a new process is ready, the old one still answers what it took
-	Ending                   // told to end
-	GivenUp                  // crash loop
-	Stopped                  // ended on command
+	Down         Phase = iota // no process; it starts when its turn comes
+	Starting                  // a process runs and is not ready yet
+	Ready                     // ready
+	Reloading                 // told to reload, not ready again yet
+	Handover                  // a new process runs beside the old one
+	Draining                  // a new process is ready, the old one still answers what it took
+	Terminating               // told to end
+	CrashLooping              // crash loop
+	Stopped                   // ended on command
 )
 
 var phaseNames = []string{"down", "starting", "up", "reloading", "handing over", "draining", "ending", "given up", "stopped"}
@@ -61,21 +61,21 @@
 
 // The actions.
 const (
-	Start  ActionKind = iota // start a process of Instance, of the new program if New
-	Term                     // send SIGTERM to its newest process
-	Hup                      // send SIGHUP to its newest process
-	KillIt                   // send SIGKILL to process Proc
-	Say                      // tell the operator Text
-	Keep                     // what was rolled out holds for all starts from now on
+	StartProcess     ActionKind = iota // start a process of Instance, of the new program if New
+	TerminateProcess                   // send SIGTERM to its newest process
+	ReloadProcess                      // send SIGHUP to its newest process
+	KillProcess                        // send SIGKILL to process Proc
+	Report                             // tell the operator Text
+	CommitRelease                      // what was rolled out holds for all starts from now on
 )
 
 // Action is one thing to do.
 type Action struct {
-	Kind     ActionKind
-	Instance int
-	Proc     int
-	New      bool // of the program or configuration being rolled out
-	Text     string
+	Kind        ActionKind
+	Instance    int
+	Process     int
+	FromRelease bool // of the program or configuration being rolled out
+	Text        string
 }
 
 // proc is a process of an instance.
@@ -111,8 +111,8 @@
 	finished []int
 }
 
-// Plan is the state of a fleet. It belongs to one caller at a time.
-type Plan struct {
+// Controller is the state of a fleet. It belongs to one caller at a time.
+type Controller struct {
 	cfg      Config
 	rng      *rand.Rand
 	list     []instance
@@ -124,77 +124,77 @@
 	nextProc int
 }
 
-// New returns the plan of n instances, none of which runs. All chance comes
+// FromRelease returns the plan of n instances, none of which runs. All chance comes
 // from seed.
-func New(cfg Config, n int, seed uint64) (*Plan, error) {
+func New(cfg Config, n int, seed uint64) (*Controller, error) {
 	switch {
 	case n < 1:
 		return nil, fmt.Errorf("plan: found %d instances, wanted 1 or more", n)
-	case cfg.AtOnce < 1:
-		return nil, fmt.Errorf("plan: AtOnce: found %d, wanted 1 or more", cfg.AtOnce)
-	case cfg.ReadyWithin <= 0 || cfg.EndWithin <= 0 || cfg.BackoffFirst <= 0 || cfg.BackoffMost < cfg.BackoffFirst:
+	case cfg.MaxConcurrent < 1:
+		return nil, fmt.Errorf("plan: AtOnce: found %d, wanted 1 or more", cfg.MaxConcurrent)
+	case cfg.ReadyTimeout <= 0 || cfg.ShutdownTimeout <= 0 || cfg.InitialBackoff <= 0 || cfg.MaxBackoff < cfg.InitialBackoff:
 		return nil, fmt.Errorf("plan: ReadyWithin, EndWithin, BackoffFirst and BackoffMost must be above 0 and in order")
-	case cfg.LoopCrashes < 2 || cfg.LoopWithin <= 0 || cfg.PauseAfter < 1:
+	case cfg.CrashLoopCount < 2 || cfg.CrashLoopWindow <= 0 || cfg.PauseAfterFailures < 1:
 		return nil, fmt.Errorf("plan: LoopCrashes, LoopWithin and PauseAfter must be above 1, 0 and 0")
 	}
-	return &Plan{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x666c656574)), list: make([]instance, n)}, nil
+	return &Controller{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x666c656574)), list: make([]instance, n)}, nil
 }
 
 // Adopt takes over a process that runs already, from before the supervisor
 // started, and that is ready. It returns the process's number.
-func (p *Plan) Adopt(i int) int {
+func (p *Controller) Adopt(i int) int {
 	in := &p.list[i]
-	in.phase = Up
+	in.phase = Ready
 	in.procs = append(in.procs, proc{id: p.number()})
 	return in.procs[len(in.procs)-1].id
 }
 
-// AdoptEnding takes over a process that runs already and does not serve: it is
+// AdoptTerminating takes over a process that runs already and does not serve: it is
 // awaited, killed if that takes long, and another is started then.
-func (p *Plan) AdoptEnding(now time.Duration, i int) int {
+func (p *Controller) AdoptTerminating(now time.Duration, i int) int {
 	id := p.Adopt(i)
 	in := &p.list[i]
-	in.phase, in.again = Ending, true
-	in.procs[0].due, in.procs[0].doing = now+p.cfg.EndWithin, fmt.Sprintf("found running, not ready, and did not end within %v", p.cfg.EndWithin)
+	in.phase, in.again = Terminating, true
+	in.procs[0].due, in.procs[0].doing = now+p.cfg.ShutdownTimeout, fmt.Sprintf("found running, not ready, and did not end within %v", p.cfg.ShutdownTimeout)
 	return id
 }
 
-func (p *Plan) number() int { p.nextProc++; return p.nextProc }
+func (p *Controller) number() int { p.nextProc++; return p.nextProc }
 
-func (p *Plan) act(a Action) { p.acts = append(p.acts, a) }
+func (p *Controller) act(a Action) { p.acts = append(p.acts, a) }
 
-func (p *Plan) say(i int, format string, args ...any) {
-	p.act(Action{Kind: Say, Instance: i, Text: fmt.Sprintf(format, args...)})
+func (p *Controller) say(i int, format string, args ...any) {
+	p.act(Action{Kind: Report, Instance: i, Text: fmt.Sprintf(format, args...)})
 }
 
 // done returns the actions.
-func (p *Plan) done() []Action {
+func (p *Controller) done() []Action {
 	acts := p.acts
 	p.acts = nil
 	return acts
 }
 
 // Phase returns where an instance is and how many processes it has.
-func (p *Plan) Phase(i int) (Phase, int) { return p.list[i].phase, len(p.list[i].procs) }
+func (p *Controller) Phase(i int) (Phase, int) { return p.list[i].phase, len(p.list[i].procs) }
 
 // Tick does what is due by now. Next says when to call it again.
-func (p *Plan) Tick(now time.Duration) []Action {
+func (p *Controller) Tick(now time.Duration) []Action {
 	p.expire(now)
 	p.startDue(now)
 	p.advance(now)
 	return p.done()
 }
 
-// Next returns when Tick has something to do at the latest.
-func (p *Plan) Next(now time.Duration) time.Duration {
+// Decide returns when Tick has something to do at the latest.
+func (p *Controller) NextTick(now time.Duration) time.Duration {
 	next := now + time.Second
-	if p.Rolling() && len(p.roll.left) > 0 && p.lastAt+p.cfg.Gap > now {
-		next = min(next, p.lastAt+p.cfg.Gap)
+	if p.UpdateInProgress() && len(p.roll.left) > 0 && p.lastAt+p.cfg.StartInterval > now {
+		next = min(next, p.lastAt+p.cfg.StartInterval)
 	}
 	for i := range p.list {
 		in := &p.list[i]
 		if in.phase == Down && !p.stopping {
-			next = min(next, max(in.after, p.lastAt+p.cfg.Gap, now+time.Millisecond))
+			next = min(next, max(in.after, p.lastAt+p.cfg.StartInterval, now+time.Millisecond))
 		}
 		for _, q := range in.procs {
 			if q.doing != "" {
@@ -206,24 +206,24 @@
 }
 
 // expire kills the processes whose time is up.
-// Silent takes down that the process id of an instance has not answered for so long
+// Unresponsive takes down that the process id of an instance has not answered for so long
 // that nobody is served by it: it is killed, and followed by another as after a
 // crash. Only one that was up by itself counts: what starts, reloads, drains or
 // ends has time limits of its own.
-func (p *Plan) Silent(now time.Duration, i, id int, span time.Duration) []Action {
+func (p *Controller) Unresponsive(now time.Duration, i, id int, span time.Duration) []Action {
 	in := &p.list[i]
-	if in.phase == Up && len(in.procs) == 1 && in.procs[0].id == id {
+	if in.phase == Ready && len(in.procs) == 1 && in.procs[0].id == id {
 		p.say(i, "process has not answered for %v: killed", span)
-		p.act(Action{Kind: KillIt, Instance: i, Proc: id})
+		p.act(Action{Kind: KillProcess, Instance: i, Process: id})
 	}
 	return p.done()
 }
 
-// Stood makes all time limits longer: the caller itself stood still for d, as one
+// Suspended makes all time limits longer: the caller itself stood still for d, as one
 // that was stopped or whose machine slept, and has not seen what its processes
 // did meanwhile. What is known at once when it wakes is that it is late, not that
 // they are.
-func (p *Plan) Stood(d time.Duration) {
+func (p *Controller) Suspended(d time.Duration) {
 	for i := range p.list {
 		for k := range p.list[i].procs {
 			p.list[i].procs[k].due += d
@@ -231,7 +231,7 @@
 	}
 }
 
-func (p *Plan) expire(now time.Duration) {
+func (p *Controller) expire(now time.Duration) {
 	for i := range p.list {
 		in := &p.list[i]
 		for k := range in.procs {
@@ -244,24 +244,24 @@
 			if in.phase == Reloading {
 				// It runs, and holds what its clients asked: it is left alone.
 				p.say(i, "%s: left as it is", why)
-				in.phase = Up
+				in.phase = Ready
 				p.rolled(now, i, false)
 				continue
 			}
 			p.say(i, "%s: killed", why)
-			p.act(Action{Kind: KillIt, Instance: i, Proc: q.id})
+			p.act(Action{Kind: KillProcess, Instance: i, Process: q.id})
 		}
 	}
 }
 
 // startDue starts those that are down, the longest due first, at least Gap
 // apart.
-func (p *Plan) startDue(now time.Duration) {
+func (p *Controller) startDue(now time.Duration) {
 	if p.stopping {
 		return
 	}
 	for {
-		if p.started && now < p.lastAt+p.cfg.Gap {
+		if p.started && now < p.lastAt+p.cfg.StartInterval {
 			return
 		}
 		due := -1
@@ -279,17 +279,17 @@
 }
 
 // start starts a process of an instance.
-func (p *Plan) start(i int, now time.Duration, phase Phase) {
+func (p *Controller) start(i int, now time.Duration, phase Phase) {
 	in := &p.list[i]
 	p.started, p.lastAt = true, now
 	in.phase = phase
-	q := proc{id: p.number(), isNew: in.isNew, due: now + p.cfg.ReadyWithin, doing: fmt.Sprintf("not ready within %v", p.cfg.ReadyWithin)}
+	q := proc{id: p.number(), isNew: in.isNew, due: now + p.cfg.ReadyTimeout, doing: fmt.Sprintf("not ready within %v", p.cfg.ReadyTimeout)}
 	in.procs = append(in.procs, q)
-	p.act(Action{Kind: Start, Instance: i, Proc: q.id, New: q.isNew})
+	p.act(Action{Kind: StartProcess, Instance: i, Process: q.id, FromRelease: q.isNew})
 }
 
-// Ready takes the news that the newest process of an instance is ready.
-func (p *Plan) Ready(now time.Duration, i, id int) []Action {
+// ProcessReady takes the news that the newest process of an instance is ready.
+func (p *Controller) ProcessReady(now time.Duration, i, id int) []Action {
 	in := &p.list[i]
 	if k := in.find(id); k < 0 || k != len(in.procs)-1 {
 		return p.done()
@@ -298,15 +298,15 @@
 	switch in.phase {
 	case Starting, Reloading:
 		last.doing = ""
-		in.phase = Up
+		in.phase = Ready
 		p.rolled(now, i, true)
-	case HandingOver:
+	case Handover:
 		last.doing = ""
-		in.phase = Up
+		in.phase = Ready
 		if len(in.procs) > 1 {
 			in.phase = Draining
 			old := &in.procs[0]
-			old.due, old.doing = now+p.cfg.EndWithin, fmt.Sprintf("did not end its drain within %v", p.cfg.EndWithin)
+			old.due, old.doing = now+p.cfg.ShutdownTimeout, fmt.Sprintf("did not end its drain within %v", p.cfg.ShutdownTimeout)
 		} else {
 			p.rolled(now, i, true)
 		}
@@ -315,13 +315,13 @@
 	return p.done()
 }
 
-// Unready takes the news that an instance has not taken its reload: it runs on
+// ReloadFailed takes the news that an instance has not taken its reload: it runs on
 // as before.
-func (p *Plan) Unready(now time.Duration, i, id int) []Action {
+func (p *Controller) ReloadFailed(now time.Duration, i, id int) []Action {
 	in := &p.list[i]
 	if in.phase == Reloading && in.find(id) >= 0 {
 		in.procs[len(in.procs)-1].doing = ""
-		in.phase = Up
+		in.phase = Ready
 		p.say(i, "did not take the reload")
 		p.rolled(now, i, false)
 		p.advance(now)
@@ -333,8 +333,8 @@
 	return slices.IndexFunc(in.procs, func(q proc) bool { return q.id == id })
 }
 
-// Ended takes the end of a process; clean tells whether its exit code was 0.
-func (p *Plan) Ended(now time.Duration, i, id int, clean bool) []Action {
+// ProcessExited takes the end of a process; clean tells whether its exit code was 0.
+func (p *Controller) ProcessExited(now time.Duration, i, id int, clean bool) []Action {
 	in := &p.list[i]
 	k := in.find(id)
 	if k < 0 {
@@ -343,19 +343,19 @@
 	newest := k == len(in.procs)-1
 	in.procs = slices.Delete(in.procs, k, k+1)
 	switch {
-	case in.phase == Ending && len(in.procs) == 0:
+	case in.phase == Terminating && len(in.procs) == 0:
 		p.ended(now, i)
-	case in.phase == Ending:
+	case in.phase == Terminating:
 	case !newest:
 		// The old one of a hand-over: all is answered.
 		if in.phase == Draining {
-			in.phase = Up
+			in.phase = Ready
 			p.rolled(now, i, true)
 		}
 	case len(in.procs) > 0:
 		// The new one of a hand-over ended: the old one goes on, or comes back.
 		in.procs[len(in.procs)-1].doing = ""
-		in.phase = Up
+		in.phase = Ready
 		p.say(i, "the new process ended during the hand-over; the old one goes on")
 		p.rolled(now, i, false)
 	default:
@@ -366,7 +366,7 @@
 }
 
 // ended takes the end that was asked for.
-func (p *Plan) ended(now time.Duration, i int) {
+func (p *Controller) ended(now time.Duration, i int) {
 	in := &p.list[i]
 	if p.stopping || !in.again {
 		in.phase = Stopped
@@ -377,7 +377,7 @@
 }
 
 // crashed takes an end that was not asked for.
-func (p *Plan) crashed(now time.Duration, i int, clean bool) {
+func (p *Controller) crashed(now time.Duration, i int, clean bool) {
 	in := &p.list[i]
 	wasStarting := in.phase == Starting
 	in.phase = Down
@@ -386,13 +386,13 @@
 		return
 	}
 	in.crashes = append(in.crashes, now)
-	for len(in.crashes) > 0 && now-in.crashes[0] > p.cfg.LoopWithin {
+	for len(in.crashes) > 0 && now-in.crashes[0] > p.cfg.CrashLoopWindow {
 		in.crashes = in.crashes[1:]
 	}
 	if len(in.crashes) == 1 {
 		in.backoff = 0
 	}
-	in.backoff = min(p.cfg.BackoffMost, max(p.cfg.BackoffFirst, 2*in.backoff))
+	in.backoff = min(p.cfg.MaxBackoff, max(p.cfg.InitialBackoff, 2*in.backoff))
 	in.after = now + in.backoff
 	how := "crashed"
 	if clean {
@@ -400,33 +400,33 @@
 	} else if wasStarting {
 		how = "ended before it was ready"
 	}
-	if len(in.crashes) >= p.cfg.LoopCrashes {
-		in.phase = GivenUp
-		p.say(i, "%s %d times within %v: a crash loop, given up until it is restarted", how, len(in.crashes), p.cfg.LoopWithin)
+	if len(in.crashes) >= p.cfg.CrashLoopCount {
+		in.phase = CrashLooping
+		p.say(i, "%s %d times within %v: a crash loop, given up until it is restarted", how, len(in.crashes), p.cfg.CrashLoopWindow)
 	} else {
 		p.say(i, "%s; starts again in %v", how, in.backoff)
 	}
 	p.rolled(now, i, false)
 }
 
-// RestartAll begins a rolling restart of those given (all, if none are).
+// RollingRestart begins a rolling restart of those given (all, if none are).
 // replace says that it brings a new program or configuration, to which the old
 // one is there to go back to.
-func (p *Plan) RestartAll(now time.Duration, which []int, replace bool) ([]Action, error) {
+func (p *Controller) RollingRestart(now time.Duration, which []int, replace bool) ([]Action, error) {
 	return p.begin(now, which, &roll{replace: replace})
 }
 
-// ReloadAll begins a rolling reload.
-func (p *Plan) ReloadAll(now time.Duration, which []int, replace bool) ([]Action, error) {
+// RollingReload begins a rolling reload.
+func (p *Controller) RollingReload(now time.Duration, which []int, replace bool) ([]Action, error) {
 	return p.begin(now, which, &roll{reload: true, replace: replace})
 }
 
-func (p *Plan) begin(now time.Duration, which []int, r *roll) ([]Action, error) {
+func (p *Controller) begin(now time.Duration, which []int, r *roll) ([]Action, error) {
 	if p.stopping {
 		return nil, fmt.Errorf("the fleet is stopping")
 	}
 	if p.roll != nil && p.roll.paused == "" {
-		return nil, fmt.Errorf("another roll is under way: %s", p.RollText())
+		return nil, fmt.Errorf("another roll is under way: %s", p.UpdateStatus())
 	}
 	if len(which) == 0 {
 		for i := range p.list {
@@ -445,14 +445,14 @@
 
 // advance takes the next instances of a roll, and none while those before are
 // not ready, a drain is still going on, or it is paused.
-func (p *Plan) advance(now time.Duration) {
+func (p *Controller) advance(now time.Duration) {
 	r := p.roll
 	if r == nil || p.stopping || r.paused != "" {
 		return
 	}
-	for len(r.left) > 0 && len(r.active) < p.cfg.AtOnce {
+	for len(r.left) > 0 && len(r.active) < p.cfg.MaxConcurrent {
 		at := slices.IndexFunc(r.left, func(i int) bool { return p.list[i].idle() })
-		if at < 0 || !r.reload && p.started && now < p.lastAt+p.cfg.Gap {
+		if at < 0 || !r.reload && p.started && now < p.lastAt+p.cfg.StartInterval {
 			return
 		}
 		i := r.left[at]
@@ -468,24 +468,24 @@
 // idle tells whether an instance may be rolled: not one that starts, reloads or
 // drains.
 func (in *instance) idle() bool {
-	return in.phase == Up || in.phase == GivenUp || in.phase == Down || in.phase == Stopped
+	return in.phase == Ready || in.phase == CrashLooping || in.phase == Down || in.phase == Stopped
 }
 
 // turn restarts or reloads one instance.
-func (p *Plan) turn(now time.Duration, i int) {
+func (p *Controller) turn(now time.Duration, i int) {
 	in, r := &p.list[i], p.roll
 	in.isNew = r.replace && !r.back
 	switch {
-	case in.phase != Up:
+	case in.phase != Ready:
 		in.phase, in.after, in.crashes, in.backoff = Down, now, nil, 0
 		p.startDue(now)
 	case r.reload:
 		in.phase = Reloading
 		last := &in.procs[len(in.procs)-1]
-		last.due, last.doing = now+p.cfg.ReadyWithin, fmt.Sprintf("not ready again within %v of SIGHUP", p.cfg.ReadyWithin)
-		p.act(Action{Kind: Hup, Instance: i, Proc: last.id, New: in.isNew})
-	case p.cfg.HandOver:
-		p.start(i, now, HandingOver)
+		last.due, last.doing = now+p.cfg.ReadyTimeout, fmt.Sprintf("not ready again within %v of SIGHUP", p.cfg.ReadyTimeout)
+		p.act(Action{Kind: ReloadProcess, Instance: i, Process: last.id, FromRelease: in.isNew})
+	case p.cfg.Handover:
+		p.start(i, now, Handover)
 	default:
 		in.again = true
 		p.end(i, now)
@@ -493,18 +493,18 @@
 }
 
 // end tells the newest process of an instance to end.
-func (p *Plan) end(i int, now time.Duration) {
+func (p *Controller) end(i int, now time.Duration) {
 	in := &p.list[i]
-	in.phase = Ending
+	in.phase = Terminating
 	for k := range in.procs {
 		q := &in.procs[k]
-		q.due, q.doing = now+p.cfg.EndWithin, fmt.Sprintf("did not end within %v of SIGTERM", p.cfg.EndWithin)
-		p.act(Action{Kind: Term, Instance: i, Proc: q.id})
+		q.due, q.doing = now+p.cfg.ShutdownTimeout, fmt.Sprintf("did not end within %v of SIGTERM", p.cfg.ShutdownTimeout)
+		p.act(Action{Kind: TerminateProcess, Instance: i, Process: q.id})
 	}
 }
 
 // rolled takes the end of an instance's turn in a roll.
-func (p *Plan) rolled(now time.Duration, i int, well bool) {
+func (p *Controller) rolled(now time.Duration, i int, well bool) {
 	r := p.roll
 	if r == nil || !r.active[i] {
 		return
@@ -519,7 +519,7 @@
 	r.failed++
 	r.inRow++
 	p.list[i].isNew = false // its next start is of the old one
-	if r.back || r.inRow < p.cfg.PauseAfter {
+	if r.back || r.inRow < p.cfg.PauseAfterFailures {
 		return
 	}
 	if !r.replace {
@@ -533,14 +533,14 @@
 }
 
 // finish ends a roll.
-func (p *Plan) finish() {
+func (p *Controller) finish() {
 	r := p.roll
 	p.roll = nil
 	word := "roll done"
 	if r.back {
 		word = "rolled back"
 	} else if r.replace && r.failed == 0 {
-		p.act(Action{Kind: Keep})
+		p.act(Action{Kind: CommitRelease})
 	}
 	for i := range p.list {
 		p.list[i].isNew = false
@@ -549,7 +549,7 @@
 }
 
 // Resume goes on with a roll that has paused.
-func (p *Plan) Resume(now time.Duration) ([]Action, error) {
+func (p *Controller) Resume(now time.Duration) ([]Action, error) {
 	if p.roll == nil || p.roll.paused == "" {
 		return nil, fmt.Errorf("no roll is paused")
 	}
@@ -559,17 +559,17 @@
 }
 
 // Cancel ends a roll; instances in their turn finish it.
-func (p *Plan) Cancel() ([]Action, error) {
+func (p *Controller) Cancel() ([]Action, error) {
 	if p.roll == nil {
 		return nil, fmt.Errorf("no roll is under way")
 	}
-	p.say(-1, "the roll was cancelled: %s", p.RollText())
+	p.say(-1, "the roll was cancelled: %s", p.UpdateStatus())
 	p.roll = nil
 	return p.done(), nil
 }
 
 // StopAll ends all instances. No roll goes on.
-func (p *Plan) StopAll(now time.Duration) []Action {
+func (p *Controller) StopAll(now time.Duration) []Action {
 	p.stopping, p.roll = true, nil
 	for i := range p.list {
 		if len(p.list[i].procs) > 0 {
@@ -581,16 +581,16 @@
 	return p.done()
 }
 
-// Stopped tells whether no process is left after StopAll.
-func (p *Plan) Stopped() bool {
+// AllStopped tells whether no process is left after StopAll.
+func (p *Controller) AllStopped() bool {
 	return p.stopping && !slices.ContainsFunc(p.list, func(in instance) bool { return len(in.procs) > 0 })
 }
 
-// Rolling tells whether a roll is under way, and not paused.
-func (p *Plan) Rolling() bool { return p.roll != nil && p.roll.paused == "" }
+// LocalUpdate tells whether a roll is under way, and not paused.
+func (p *Controller) UpdateInProgress() bool { return p.roll != nil && p.roll.paused == "" }
 
-// RollText words the roll under way; empty if there is none.
-func (p *Plan) RollText() string {
+// UpdateStatus words the roll under way; empty if there is none.
+func (p *Controller) UpdateStatus() string {
 	r := p.roll
 	if r == nil {
 		return ""
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package plan
+package lifecycle
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 func config() Config {
 	return Config{
-		Gap: 100 * time.Millisecond, ReadyWithin: 5 * time.Second, EndWithin: 8 * time.Second, AtOnce: 2, PauseAfter: 2,
-		BackoffFirst: 500 * time.Millisecond, BackoffMost: 8 * time.Second, LoopCrashes: 4, LoopWithin: time.Minute,
+		StartInterval: 100 * time.Millisecond, ReadyTimeout: 5 * time.Second, ShutdownTimeout: 8 * time.Second, MaxConcurrent: 2, PauseAfterFailures: 2,
+		InitialBackoff: 500 * time.Millisecond, MaxBackoff: 8 * time.Second, CrashLoopCount: 4, CrashLoopWindow: time.Minute,
 	}
 }
 
@@ -31,7 +31,7 @@
 // signals, crash.
 type world struct {
 	t      interface{ Fatalf(string, ...any) }
-	plan   *Plan
+	plan   *Controller
 	cfg    Config
 	now    time.Duration
 	procs  map[int]*fakeProc
@@ -67,12 +67,12 @@
 			w.record(a)
 		}
 		switch a.Kind {
-		case Start:
-			q := &fakeProc{instance: a.Instance, isNew: a.New}
-			if d := w.ready(a.Instance, a.New); d > 0 {
+		case StartProcess:
+			q := &fakeProc{instance: a.Instance, isNew: a.FromRelease}
+			if d := w.ready(a.Instance, a.FromRelease); d > 0 {
 				q.readyAt = w.now + d
 			}
-			w.procs[a.Proc] = q
+			w.procs[a.Process] = q
 			w.starts = append(w.starts, w.now)
 			n := 0
 			for _, p := range w.procs {
@@ -81,26 +81,26 @@
 				}
 			}
 			w.most = max(w.most, n)
-		case Term:
-			if q := w.procs[a.Proc]; q != nil && q.endAt == 0 {
+		case TerminateProcess:
+			if q := w.procs[a.Process]; q != nil && q.endAt == 0 {
 				if d := w.end(a.Instance); d > 0 {
 					q.endAt, q.clean = w.now+d, true
 				}
 			}
-		case KillIt:
-			if q := w.procs[a.Proc]; q != nil {
+		case KillProcess:
+			if q := w.procs[a.Process]; q != nil {
 				q.endAt, q.clean = w.now, false
 			}
-		case Hup:
-			if w.hup(a.Instance, a.New) {
-				w.procs[a.Proc].isNew = a.New
-				w.do(w.plan.Ready(w.now, a.Instance, a.Proc))
+		case ReloadProcess:
+			if w.hup(a.Instance, a.FromRelease) {
+				w.procs[a.Process].isNew = a.FromRelease
+				w.do(w.plan.ProcessReady(w.now, a.Instance, a.Process))
 			} else {
-				w.do(w.plan.Unready(w.now, a.Instance, a.Proc))
+				w.do(w.plan.ReloadFailed(w.now, a.Instance, a.Process))
 			}
-		case Say:
+		case Report:
 			w.said = append(w.said, fmt.Sprintf("%v %d: %s", w.now, a.Instance, a.Text))
-		case Keep:
+		case CommitRelease:
 			w.kept++
 		}
 	}
@@ -108,7 +108,7 @@
 
 // step moves time on to the next event, at most until end.
 func (w *world) step(end time.Duration) {
-	next := min(end, w.plan.Next(w.now))
+	next := min(end, w.plan.NextTick(w.now))
 	for _, q := range w.procs {
 		if q.readyAt > w.now && !q.told {
 			next = min(next, q.readyAt)
@@ -128,10 +128,10 @@
 		switch {
 		case q.endAt > 0 && q.endAt <= w.now:
 			delete(w.procs, id)
-			w.do(w.plan.Ended(w.now, q.instance, id, q.clean))
+			w.do(w.plan.ProcessExited(w.now, q.instance, id, q.clean))
 		case !q.told && q.readyAt > 0 && q.readyAt <= w.now:
 			q.told = true
-			if w.cfg.HandOver {
+			if w.cfg.Handover {
 				// The old one drains now, and ends.
 				for _, o := range w.procs {
 					if o.instance == q.instance && o != q && o.endAt == 0 {
@@ -141,13 +141,13 @@
 					}
 				}
 			}
-			w.do(w.plan.Ready(w.now, q.instance, id))
+			w.do(w.plan.ProcessReady(w.now, q.instance, id))
 		}
 	}
 	w.do(w.plan.Tick(w.now))
 	active := 0
 	for i := range w.plan.list {
-		if ph, _ := w.plan.Phase(i); ph == HandingOver || ph == Draining || ph == Ending || ph == Reloading {
+		if ph, _ := w.plan.Phase(i); ph == Handover || ph == Draining || ph == Terminating || ph == Reloading {
 			active++
 		}
 	}
@@ -163,7 +163,7 @@
 func (w *world) up() int {
 	n := 0
 	for i := range w.plan.list {
-		if ph, _ := w.plan.Phase(i); ph == Up {
+		if ph, _ := w.plan.Phase(i); ph == Ready {
 			n++
 		}
 	}
@@ -181,9 +181,9 @@
 	const lines, call, list, n = 280, 77, 70, 1200
 	cfg := config()
 	perStart := float64(call+list) / lines
-	cfg.Gap = time.Duration(perStart * float64(time.Second))
+	cfg.StartInterval = time.Duration(perStart * float64(time.Second))
 	w := newWorld(t, cfg, n)
-	total := time.Duration(n)*cfg.Gap + time.Second
+	total := time.Duration(n)*cfg.StartInterval + time.Second
 	w.run(total)
 	if w.up() != n {
 		t.Fatalf("%d of %d up after %v", w.up(), n, total)
@@ -202,15 +202,15 @@
 func TestRollingRestart(t *testing.T) {
 	for _, handOver := range []bool{false, true} {
 		cfg := config()
-		cfg.HandOver = handOver
+		cfg.Handover = handOver
 		w := newWorld(t, cfg, 9)
 		w.run(3 * time.Second)
-		acts, err := w.plan.RestartAll(w.now, nil, true)
+		acts, err := w.plan.RollingRestart(w.now, nil, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.do(acts)
-		if _, err := w.plan.RestartAll(w.now, nil, true); err == nil {
+		if _, err := w.plan.RollingRestart(w.now, nil, true); err == nil {
 			t.Error("a second roll within the first was taken")
 		}
 		w.run(30 * time.Second)
@@ -219,10 +219,10 @@
 				t.Errorf("handover %v: process %d is of the old one", handOver, id)
 			}
 		}
-		if w.up() != 9 || w.plan.Rolling() || w.kept != 1 {
-			t.Errorf("handover %v: %d up, rolling %v, kept %d: %v", handOver, w.up(), w.plan.Rolling(), w.kept, w.said)
+		if w.up() != 9 || w.plan.UpdateInProgress() || w.kept != 1 {
+			t.Errorf("handover %v: %d up, rolling %v, kept %d: %v", handOver, w.up(), w.plan.UpdateInProgress(), w.kept, w.said)
 		}
-		if w.roll > cfg.AtOnce {
+		if w.roll > cfg.MaxConcurrent {
 			t.Errorf("handover %v: %d at once", handOver, w.roll)
 		}
 		if want := map[bool]int{false: 1, true: 2}[handOver]; w.most != want {
@@ -234,19 +234,19 @@
 // While a drain is still going on no further instance is taken.
 func TestRollWaitsForDrains(t *testing.T) {
 	cfg := config()
-	cfg.HandOver, cfg.AtOnce = true, 1
+	cfg.Handover, cfg.MaxConcurrent = true, 1
 	w := newWorld(t, cfg, 3)
 	w.end = func(int) time.Duration { return 6 * time.Second }
 	w.run(2 * time.Second)
 	began := len(w.starts)
-	acts, _ := w.plan.RestartAll(w.now, nil, false)
+	acts, _ := w.plan.RollingRestart(w.now, nil, false)
 	w.do(acts)
 	w.run(5 * time.Second)
 	if n := len(w.starts) - began; n != 1 {
 		t.Errorf("%d started while the first still drained", n)
 	}
 	w.run(20 * time.Second)
-	if w.up() != 3 || w.plan.Rolling() {
+	if w.up() != 3 || w.plan.UpdateInProgress() {
 		t.Errorf("%d up: %v", w.up(), w.said)
 	}
 }
@@ -257,7 +257,7 @@
 	for _, handOver := range []bool{false, true} {
 		for _, replace := range []bool{false, true} {
 			cfg := config()
-			cfg.HandOver, cfg.AtOnce = handOver, 1
+			cfg.Handover, cfg.MaxConcurrent = handOver, 1
 			w := newWorld(t, cfg, 6)
 			good := 0
 			w.run(2 * time.Second)
@@ -270,7 +270,7 @@
 				}
 				return 0
 			}
-			acts, err := w.plan.RestartAll(w.now, nil, replace)
+			acts, err := w.plan.RollingRestart(w.now, nil, replace)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -288,7 +288,7 @@
 				}
 				continue
 			}
-			if !w.heard("paused") || w.plan.Rolling() {
+			if !w.heard("paused") || w.plan.UpdateInProgress() {
 				t.Errorf("%s: not paused: %v", name, w.said)
 			}
 			if handOver && w.up() != 6 {
@@ -301,8 +301,8 @@
 			}
 			w.do(acts)
 			w.run(time.Minute)
-			if w.plan.Rolling() || w.plan.RollText() != "" {
-				t.Errorf("%s: after resume: %s", name, w.plan.RollText())
+			if w.plan.UpdateInProgress() || w.plan.UpdateStatus() != "" {
+				t.Errorf("%s: after resume: %s", name, w.plan.UpdateStatus())
 			}
 		}
 	}
@@ -311,16 +311,16 @@
 func TestReload(t *testing.T) {
 	w := newWorld(t, config(), 4)
 	w.run(2 * time.Second)
-	acts, _ := w.plan.ReloadAll(w.now, nil, true)
+	acts, _ := w.plan.RollingReload(w.now, nil, true)
 	w.do(acts)
 	w.run(time.Second)
-	if w.kept != 1 || w.plan.Rolling() {
+	if w.kept != 1 || w.plan.UpdateInProgress() {
 		t.Fatalf("kept %d: %v", w.kept, w.said)
 	}
 	// A configuration that two do not take goes back.
 	n := 0
 	w.hup = func(i int, isNew bool) bool { n++; return !isNew || n == 1 }
-	acts, _ = w.plan.ReloadAll(w.now, nil, true)
+	acts, _ = w.plan.RollingReload(w.now, nil, true)
 	w.do(acts)
 	w.run(time.Second)
 	if !w.heard("rolled back") || w.kept != 1 || w.up() != 4 {
@@ -332,7 +332,7 @@
 // and a crash loop by none until an operator asks.
 func TestCrashes(t *testing.T) {
 	cfg := config()
-	cfg.LoopCrashes = 6
+	cfg.CrashLoopCount = 6
 	w := newWorld(t, cfg, 1)
 	w.ready = func(int, bool) time.Duration { return 0 }
 	w.end = func(int) time.Duration { return 0 }
@@ -357,7 +357,7 @@
 		t.Errorf("pauses %v, want %v", gaps, want)
 	}
 	crash()
-	if ph, _ := w.plan.Phase(0); ph != GivenUp || !w.heard("crash loop") {
+	if ph, _ := w.plan.Phase(0); ph != CrashLooping || !w.heard("crash loop") {
 		t.Errorf("phase %v: %v", ph, w.said)
 	}
 	w.run(time.Minute)
@@ -365,7 +365,7 @@
 		t.Error("it was started again")
 	}
 	w.ready = func(int, bool) time.Duration { return 50 * time.Millisecond }
-	acts, _ := w.plan.RestartAll(w.now, []int{0}, false)
+	acts, _ := w.plan.RollingRestart(w.now, []int{0}, false)
 	w.do(acts)
 	w.run(time.Second)
 	if w.up() != 1 {
@@ -383,15 +383,15 @@
 		return 700 * time.Millisecond
 	}
 	w.run(time.Second)
-	acts, _ := w.plan.RestartAll(w.now, nil, false)
+	acts, _ := w.plan.RollingRestart(w.now, nil, false)
 	w.do(acts)
 	w.run(30 * time.Second)
-	if w.up() != 3 || !w.heard("did not end within 8s of SIGTERM: killed") || w.plan.Rolling() {
+	if w.up() != 3 || !w.heard("did not end within 8s of SIGTERM: killed") || w.plan.UpdateInProgress() {
 		t.Errorf("%d up: %v", w.up(), w.said)
 	}
 	w.do(w.plan.StopAll(w.now))
 	w.run(30 * time.Second)
-	if !w.plan.Stopped() {
+	if !w.plan.AllStopped() {
 		t.Error("not stopped")
 	}
 }
@@ -399,11 +399,11 @@
 // The new process of a hand-over is killed midway: the old one is the instance.
 func TestHandOverBreaks(t *testing.T) {
 	cfg := config()
-	cfg.HandOver, cfg.AtOnce = true, 1
+	cfg.Handover, cfg.MaxConcurrent = true, 1
 	w := newWorld(t, cfg, 1)
 	w.run(time.Second)
 	w.ready = func(int, bool) time.Duration { return time.Second }
-	acts, _ := w.plan.RestartAll(w.now, nil, false)
+	acts, _ := w.plan.RollingRestart(w.now, nil, false)
 	w.do(acts)
 	w.run(500 * time.Millisecond)
 	for _, q := range w.procs {
@@ -412,7 +412,7 @@
 		}
 	}
 	w.run(time.Second)
-	if ph, n := w.plan.Phase(0); ph != Up || n != 1 || !w.heard("the old one goes on") {
+	if ph, n := w.plan.Phase(0); ph != Ready || n != 1 || !w.heard("the old one goes on") {
 		t.Errorf("phase %v, %d processes: %v", ph, n, w.said)
 	}
 }
@@ -421,7 +421,7 @@
 	w := newWorld(t, config(), 2)
 	id := w.plan.Adopt(0)
 	w.procs[id] = &fakeProc{instance: 0, told: true}
-	hung := w.plan.AdoptEnding(0, 1)
+	hung := w.plan.AdoptTerminating(0, 1)
 	w.procs[hung] = &fakeProc{instance: 1, told: true}
 	w.run(20 * time.Second)
 	if len(w.starts) != 1 || w.up() != 2 || !w.heard("found running, not ready") {
@@ -430,13 +430,13 @@
 }
 
 // Whatever processes do and operators ask: never two processes of an instance
-// but for a hand-over, starts no closer than Gap, never more than AtOnce under
+// but for a hand-over, starts no closer than Gap, never more than MaxConcurrent under
 // way, and after a stop all ends.
 func TestPlanHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.HandOver = rapid.Bool().Draw(t, "handover")
-		cfg.AtOnce = rapid.IntRange(1, 3).Draw(t, "atOnce")
+		cfg.Handover = rapid.Bool().Draw(t, "handover")
+		cfg.MaxConcurrent = rapid.IntRange(1, 3).Draw(t, "atOnce")
 		n := rapid.IntRange(1, 6).Draw(t, "instances")
 		w := newWorld(t, cfg, n)
 		w.ready = func(int, bool) time.Duration {
@@ -450,11 +450,11 @@
 			w.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if acts, err := w.plan.RestartAll(w.now, nil, rapid.Bool().Draw(t, "replace")); err == nil {
+				if acts, err := w.plan.RollingRestart(w.now, nil, rapid.Bool().Draw(t, "replace")); err == nil {
 					w.do(acts)
 				}
 			case 1:
-				if acts, err := w.plan.ReloadAll(w.now, nil, rapid.Bool().Draw(t, "replace")); err == nil {
+				if acts, err := w.plan.RollingReload(w.now, nil, rapid.Bool().Draw(t, "replace")); err == nil {
 					w.do(acts)
 				}
 			case 2:
@@ -477,20 +477,20 @@
 			}
 		}
 		most := 1
-		if cfg.HandOver {
+		if cfg.Handover {
 			most = 2
 		}
 		if w.most > most {
 			t.Fatalf("%d processes of an instance", w.most)
 		}
 		for i := 1; i < len(w.starts); i++ {
-			if w.starts[i]-w.starts[i-1] < cfg.Gap {
+			if w.starts[i]-w.starts[i-1] < cfg.StartInterval {
 				t.Fatalf("starts %v and %v", w.starts[i-1], w.starts[i])
 			}
 		}
 		w.do(w.plan.StopAll(w.now))
 		w.run(time.Minute)
-		if !w.plan.Stopped() || len(w.procs) != 0 {
+		if !w.plan.AllStopped() || len(w.procs) != 0 {
 			t.Fatalf("%d processes after the stop", len(w.procs))
 		}
 	})
@@ -499,7 +499,7 @@
 // A supervisor that stood still while a process became ready must not kill it for
 // being late: it did not look.
 func TestStoodStill(t *testing.T) {
-	cfg := Config{ReadyWithin: 5 * time.Second, EndWithin: 5 * time.Second, AtOnce: 1, PauseAfter: 1, BackoffFirst: time.Second, BackoffMost: time.Second, LoopCrashes: 5, LoopWithin: time.Minute}
+	cfg := Config{ReadyTimeout: 5 * time.Second, ShutdownTimeout: 5 * time.Second, MaxConcurrent: 1, PauseAfterFailures: 1, InitialBackoff: time.Second, MaxBackoff: time.Second, CrashLoopCount: 5, CrashLoopWindow: time.Minute}
 	for _, stood := range []bool{true, false} {
 		p, err := New(cfg, 1, 1)
 		if err != nil {
@@ -508,18 +508,18 @@
 		p.Tick(0)
 		const slept = 9 * time.Second
 		if stood {
-			p.Stood(slept)
+			p.Suspended(slept)
 		}
 		killed := false
 		for _, a := range p.Tick(slept) {
-			killed = killed || a.Kind == KillIt
+			killed = killed || a.Kind == KillProcess
 		}
 		if killed == stood {
 			t.Errorf("stood still: %v; killed: %v", stood, killed)
 		}
 		killed = false
 		for _, a := range p.Tick(slept + 6*time.Second) {
-			killed = killed || a.Kind == KillIt
+			killed = killed || a.Kind == KillProcess
 		}
 		if killed != stood {
 			t.Errorf("6 s after a standstill: killed %v, wanted the limit to hold from then on", killed)
--- a/internal/fleet/plan/recording_test.go
+++ b/internal/fleet/lifecycle/recording_test.go
@@ -1,4 +1,4 @@
-package plan
+package lifecycle
 
 import (
 	"crypto/sha256"
@@ -51,13 +51,13 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := config()
-	cfg.HandOver = rng.IntN(2) == 0
-	cfg.AtOnce = 1 + rng.IntN(3)
+	cfg.Handover = rng.IntN(2) == 0
+	cfg.MaxConcurrent = 1 + rng.IntN(3)
 	n := 1 + rng.IntN(6)
 	w := newWorld(t, cfg, n)
 	var actions strings.Builder
 	w.record = func(a Action) {
-		fmt.Fprintf(&actions, "%d %d %d %d %t %t\n", w.now, a.Kind, a.Instance, a.Proc, a.New, a.Text != "")
+		fmt.Fprintf(&actions, "%d %d %d %d %t %t\n", w.now, a.Kind, a.Instance, a.Process, a.FromRelease, a.Text != "")
 	}
 	w.ready = func(int, bool) time.Duration {
 		return []time.Duration{0, 50 * time.Millisecond, time.Second}[rng.IntN(3)]
@@ -70,7 +70,7 @@
 		id := w.plan.Adopt(0)
 		w.procs[id] = &fakeProc{instance: 0, told: true}
 		if n > 1 {
-			id := w.plan.AdoptEnding(0, 1)
+			id := w.plan.AdoptTerminating(0, 1)
 			w.procs[id] = &fakeProc{instance: 1, told: true}
 		}
 	}
@@ -81,11 +81,11 @@
 			phase, processes := w.plan.Phase(i)
 			fmt.Fprintf(&actions, "%d %d %d\n", i, phase, processes)
 		}
-		fmt.Fprintf(&actions, "%t %t %d\n", w.plan.Rolling(), w.plan.RollText() == "", w.plan.Next(w.now))
+		fmt.Fprintf(&actions, "%t %t %d\n", w.plan.UpdateInProgress(), w.plan.UpdateStatus() == "", w.plan.NextTick(w.now))
 	}
 	w.do(w.plan.StopAll(w.now))
 	w.run(time.Minute)
-	fmt.Fprintf(&actions, "%t\n", w.plan.Stopped())
+	fmt.Fprintf(&actions, "%t\n", w.plan.AllStopped())
 	return w, actions.String()
 }
 
@@ -107,18 +107,18 @@
 	}
 	switch rng.IntN(9) {
 	case 0, 1:
-		acts, err = w.plan.RestartAll(w.now, which, replace)
+		acts, err = w.plan.RollingRestart(w.now, which, replace)
 	case 2, 3:
-		acts, err = w.plan.ReloadAll(w.now, which, replace)
+		acts, err = w.plan.RollingReload(w.now, which, replace)
 	case 4:
 		acts, err = w.plan.Resume(w.now)
 	case 5:
 		acts, err = w.plan.Cancel()
 	case 6:
-		w.plan.Stood(time.Duration(rng.IntN(5000)) * time.Millisecond)
+		w.plan.Suspended(time.Duration(rng.IntN(5000)) * time.Millisecond)
 	case 7:
 		if running > 0 {
-			acts = w.plan.Silent(w.now, w.procs[running].instance, running, time.Second)
+			acts = w.plan.Unresponsive(w.now, w.procs[running].instance, running, time.Second)
 		}
 	default:
 		if running > 0 {
--- a/internal/fleet/everywhere/capacity_test.go
+++ b/internal/fleet/rollout/capacity_test.go
@@ -1,4 +1,4 @@
-package everywhere
+package rollout
 
 import (
 	"encoding/json"
@@ -10,14 +10,14 @@
 
 // capacityHosts is a fleet of three zones, of which a share of the instances has the
 // order already.
-func capacityHosts(hosts, each, done int) []Host {
-	all := make([]Host, hosts)
+func capacityHosts(hosts, each, done int) []HostStatus {
+	all := make([]HostStatus, hosts)
 	for i := range all {
-		all[i] = Host{Name: fmt.Sprintf("host-%04d", i), Zone: fmt.Sprint("z", i%3), Program: "/usr/lib/otterspring/sandhinge", Reached: true}
+		all[i] = HostStatus{Name: fmt.Sprintf("host-%04d", i), Zone: fmt.Sprint("z", i%3), Program: "/usr/lib/otterspring/sandhinge", Contacted: true}
 		for k := range each {
-			instance := Instance{Name: fmt.Sprintf("n%d", k), Up: true}
+			instance := InstanceStatus{Name: fmt.Sprintf("n%d", k), Ready: true}
 			if i*each+k < done {
-				instance.Order = "o1"
+				instance.RolloutID = "o1"
 			}
 			all[i].Instances = append(all[i].Instances, instance)
 		}
@@ -32,7 +32,7 @@
 		b.Run(fmt.Sprintf("instances=%d", instances), func(b *testing.B) {
 			hosts := capacityHosts(instances/20, 20, instances/2)
 			cost.Loop(b, func(int) {
-				if d := Next("o1", Order{AtOnce: 100}, Note{Order: "o1"}, hosts); len(d.Steps) != 100 {
+				if d := Decide("o1", Request{MaxConcurrent: 100}, Checkpoint{RolloutID: "o1"}, hosts); len(d.Steps) != 100 {
 					b.Fatalf("%d steps, wanted 100: %+v", len(d.Steps), d)
 				}
 			})
@@ -45,9 +45,9 @@
 func BenchmarkNoteBytes(b *testing.B) {
 	for _, hosts := range []int{12, 50, 100, 200, 512, 1625} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			note := Note{Order: "r1", Of: 20 * hosts, Before: map[string]string{}}
+			note := Checkpoint{RolloutID: "r1", Total: 20 * hosts, PreviousPrograms: map[string]string{}}
 			for _, host := range capacityHosts(hosts, 20, 0) {
-				note.Before[host.Name] = host.Program
+				note.PreviousPrograms[host.Name] = host.Program
 			}
 			bytes := 0
 			for b.Loop() {
--- a/internal/fleet/everywhere/recording_test.go
+++ b/internal/fleet/rollout/recording_test.go
@@ -1,4 +1,4 @@
-package everywhere
+package rollout
 
 import (
 	"crypto/sha256"
@@ -20,7 +20,7 @@
 		var decisions strings.Builder
 		for range 100 {
 			d := recordedDecision(rng)
-			fmt.Fprintf(&decisions, "%v %t %t %t %d %d\n", d.Steps, d.End != "", d.Wait != "", d.Back, d.Done, d.Of)
+			fmt.Fprintf(&decisions, "%v %t %t %t %d %d\n", d.Steps, d.Result != "", d.Waiting != "", d.RollBack, d.Completed, d.Total)
 		}
 		fmt.Fprintf(&recording, "%d %x\n", seed, sha256.Sum256([]byte(decisions.String())))
 	}
@@ -39,28 +39,28 @@
 }
 
 func recordedDecision(rng *rand.Rand) Decision {
-	order := Order{AtOnce: rng.IntN(4), ZoneOnce: rng.IntN(3), Reload: rng.IntN(3) == 0}
+	order := Request{MaxConcurrent: rng.IntN(4), MaxConcurrentPerZone: rng.IntN(3), Reload: rng.IntN(3) == 0}
 	if rng.IntN(2) == 0 {
 		order.Program = "new"
 	}
-	note := Note{Order: "o1", Back: rng.IntN(3) == 0, Before: map[string]string{}}
-	orders := []string{"", "o0", "o1", BackID("o1")}
+	note := Checkpoint{RolloutID: "o1", RollingBack: rng.IntN(3) == 0, PreviousPrograms: map[string]string{}}
+	orders := []string{"", "o0", "o1", RollbackID("o1")}
 	failing := rng.IntN(3) == 0
-	var hosts []Host
+	var hosts []HostStatus
 	for h := range rng.IntN(6) {
-		host := Host{Name: fmt.Sprintf("h%d", 5-h), Zone: fmt.Sprint(rng.IntN(3)), Reached: rng.IntN(20) > 0}
-		note.Before[host.Name] = "old" + host.Name
+		host := HostStatus{Name: fmt.Sprintf("h%d", 5-h), Zone: fmt.Sprint(rng.IntN(3)), Contacted: rng.IntN(20) > 0}
+		note.PreviousPrograms[host.Name] = "old" + host.Name
 		if rng.IntN(5) == 0 {
-			host.Rolling = "restart"
+			host.LocalUpdate = "restart"
 		}
 		for i := range rng.IntN(4) {
-			instance := Instance{Name: fmt.Sprint(i), Up: rng.IntN(5) > 0, Order: orders[rng.IntN(len(orders))]}
+			instance := InstanceStatus{Name: fmt.Sprint(i), Ready: rng.IntN(5) > 0, RolloutID: orders[rng.IntN(len(orders))]}
 			if failing && rng.IntN(6) == 0 {
-				instance.Failed = orders[rng.IntN(len(orders))]
+				instance.FailedRolloutID = orders[rng.IntN(len(orders))]
 			}
 			host.Instances = append(host.Instances, instance)
 		}
 		hosts = append(hosts, host)
 	}
-	return Next("o1", order, note, hosts)
+	return Decide("o1", order, note, hosts)
 }
--- a/internal/fleet/everywhere/everywhere_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package everywhere
+package rollout
 
 import (
 	"fmt"
@@ -12,18 +12,18 @@
 func TestOwnersFollowOneAnother(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		o := Order{AtOnce: 1 + rng.IntN(3), ZoneOnce: rng.IntN(3)}
+		o := Request{MaxConcurrent: 1 + rng.IntN(3), MaxConcurrentPerZone: rng.IntN(3)}
 		bad := rng.IntN(3) == 0
 		if bad || rng.IntN(2) == 0 {
 			o.Program = "new"
 		}
-		n := Note{Order: "o1", Before: map[string]string{}}
-		var hosts []Host
+		n := Checkpoint{RolloutID: "o1", PreviousPrograms: map[string]string{}}
+		var hosts []HostStatus
 		for h := range 1 + rng.IntN(5) {
-			host := Host{Name: fmt.Sprintf("h%d", h), Zone: fmt.Sprint(rng.IntN(3)), Program: "old", Reached: true}
-			n.Before[host.Name] = "old"
+			host := HostStatus{Name: fmt.Sprintf("h%d", h), Zone: fmt.Sprint(rng.IntN(3)), Program: "old", Contacted: true}
+			n.PreviousPrograms[host.Name] = "old"
 			for i := range 1 + rng.IntN(4) {
-				host.Instances = append(host.Instances, Instance{Name: fmt.Sprint(i), Up: true})
+				host.Instances = append(host.Instances, InstanceStatus{Name: fmt.Sprint(i), Ready: true})
 			}
 			hosts = append(hosts, host)
 		}
@@ -34,29 +34,29 @@
 			if round > 5000 {
 				t.Fatalf("seed %d: no end: %+v", seed, hosts)
 			}
-			view := make([]Host, len(hosts))
+			view := make([]HostStatus, len(hosts))
 			for k, h := range hosts {
 				view[k] = h
-				view[k].Instances = append([]Instance(nil), h.Instances...)
-				view[k].Reached = rng.IntN(20) > 0
+				view[k].Instances = append([]InstanceStatus(nil), h.Instances...)
+				view[k].Contacted = rng.IntN(20) > 0
 			}
-			d := Next("o1", o, n, view)
+			d := Decide("o1", o, n, view)
 			away := 0
 			for k := range hosts {
 				for i := range hosts[k].Instances {
-					if !hosts[k].Instances[i].Up {
+					if !hosts[k].Instances[i].Ready {
 						away++
 					}
 				}
 			}
-			if away+len(d.Steps) > max(o.AtOnce, away) {
-				t.Fatalf("seed %d: %d under way and %d more, wanted %d at most", seed, away, len(d.Steps), o.AtOnce)
+			if away+len(d.Steps) > max(o.MaxConcurrent, away) {
+				t.Fatalf("seed %d: %d under way and %d more, wanted %d at most", seed, away, len(d.Steps), o.MaxConcurrent)
 			}
-			n.Back = n.Back || d.Back
-			end = d.End
+			n.RollingBack = n.RollingBack || d.RollBack
+			end = d.Result
 			zones := map[string]int{}
 			for _, s := range d.Steps {
-				if zones[s.Zone]++; o.ZoneOnce > 0 && zones[s.Zone] > o.ZoneOnce {
+				if zones[s.Zone]++; o.MaxConcurrentPerZone > 0 && zones[s.Zone] > o.MaxConcurrentPerZone {
 					t.Fatalf("seed %d: %d at once in zone %s", seed, zones[s.Zone], s.Zone)
 				}
 				if rng.IntN(10) == 0 {
@@ -68,19 +68,19 @@
 					}
 					for i := range hosts[k].Instances {
 						in := &hosts[k].Instances[i]
-						if in.Name != s.Instance || in.Order == s.Order {
+						if in.Name != s.Instance || in.RolloutID == s.RolloutID {
 							continue
 						}
-						in.Up = false
+						in.Ready = false
 						name := s.Host + "/" + s.Instance
-						restarts[name+" "+s.Order]++
+						restarts[name+" "+s.RolloutID]++
 						ending = append(ending, func() {
-							in.Up = true
+							in.Ready = true
 							if bad && s.Program == "new" && rng.IntN(4) == 0 {
-								in.Failed = s.Order
+								in.FailedRolloutID = s.RolloutID
 								return
 							}
-							in.Order, programs[name] = s.Order, s.Program
+							in.RolloutID, programs[name] = s.RolloutID, s.Program
 						})
 					}
 				}
@@ -99,7 +99,7 @@
 		for _, h := range hosts {
 			for _, in := range h.Instances {
 				name := h.Name + "/" + in.Name
-				if !n.Back && in.Order != "o1" || n.Back && programs[name] == "new" {
+				if !n.RollingBack && in.RolloutID != "o1" || n.RollingBack && programs[name] == "new" {
 					t.Errorf("seed %d: %s was left out at %q: %+v", seed, name, end, in)
 				}
 			}
--- a/internal/fleet/everywhere/wire_test.go
+++ b/internal/fleet/rollout/wire_test.go
@@ -1,4 +1,4 @@
-package everywhere
+package rollout
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 
 func TestKeys(t *testing.T) {
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
-		{Role: "request for a rolling restart of the fleet", Encoding: "json", Value: Order{}},
-		{Role: "checkpoint of a rolling restart", Encoding: "json", Value: Note{}},
-		{Role: "status of a host", Encoding: "json", Value: Host{}},
+		{Role: "request for a rolling restart of the fleet", Encoding: "json", Value: Request{}},
+		{Role: "checkpoint of a rolling restart", Encoding: "json", Value: Checkpoint{}},
+		{Role: "status of a host", Encoding: "json", Value: HostStatus{}},
 	})
 }
 
@@ -25,13 +25,13 @@
 // an unknown key, and written back byte for byte.
 func TestFixturesAreWrittenBack(t *testing.T) {
 	for file, value := range map[string]any{
-		"request.json":          &Order{Program: "/opt/new", AtOnce: 3, ZoneOnce: 1, Reload: true, Operators: "ann"},
-		"request-least.json":    &Order{},
-		"checkpoint.json":       &Note{Order: "r0badcafe", Done: 7, Of: 20, Wait: "host h2 is not reached", Back: true, Before: map[string]string{"h1": "/opt/old", "h2": "/opt/older"}},
-		"checkpoint-least.json": &Note{},
-		"host.json": &Host{Name: "h1", Zone: "z1", Program: "/opt/old", Rolling: "restart: 1 done", Instances: []Instance{
-			{Name: "n1", Up: true, Order: "r0badcafe", Failed: "r00000001"}, {Name: "n2"}}, Reached: true},
-		"host-least.json": &Host{},
+		"request.json":          &Request{Program: "/opt/new", MaxConcurrent: 3, MaxConcurrentPerZone: 1, Reload: true, RequestedBy: "ann"},
+		"request-least.json":    &Request{},
+		"checkpoint.json":       &Checkpoint{RolloutID: "r0badcafe", Completed: 7, Total: 20, Waiting: "host h2 is not reached", RollingBack: true, PreviousPrograms: map[string]string{"h1": "/opt/old", "h2": "/opt/older"}},
+		"checkpoint-least.json": &Checkpoint{},
+		"host.json": &HostStatus{Name: "h1", Zone: "z1", Program: "/opt/old", LocalUpdate: "restart: 1 done", Instances: []InstanceStatus{
+			{Name: "n1", Ready: true, RolloutID: "r0badcafe", FailedRolloutID: "r00000001"}, {Name: "n2"}}, Contacted: true},
+		"host-least.json": &HostStatus{},
 	} {
 		path := filepath.Join("testdata", file)
 		if *updateFixtures {
@@ -52,12 +52,12 @@
 		}
 		read := value
 		switch value.(type) {
-		case *Order:
-			read = &Order{}
-		case *Note:
-			read = &Note{}
-		case *Host:
-			read = &Host{}
+		case *Request:
+			read = &Request{}
+		case *Checkpoint:
+			read = &Checkpoint{}
+		case *HostStatus:
+			read = &HostStatus{}
 		}
 		decoder := json.NewDecoder(bytes.NewReader(text))
 		decoder.DisallowUnknownFields()
--- a/internal/fleet/supervisor/alive.go
+++ b/internal/fleet/supervisor/alive.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/lifecycle"
 )
 
 // An instance that is stopped, or hangs, holds its listener: connections come up
@@ -56,7 +56,7 @@
 			case answered[k] || !known:
 				at = now
 			case now.Sub(at) >= within:
-				s.send(s.ctx, func(t time.Duration) []plan.Action { return s.plan.Silent(t, o.i, o.id, within) })
+				s.send(s.ctx, func(t time.Duration) []lifecycle.Action { return s.plan.Unresponsive(t, o.i, o.id, within) })
 				at = now // killed or not, it has its time anew
 			}
 			next[o] = at
@@ -68,10 +68,10 @@
 // up are the processes that are up by themselves.
 func (s *Supervisor) up() []one {
 	got := make(chan []one, 1)
-	s.send(s.ctx, func(time.Duration) []plan.Action {
+	s.send(s.ctx, func(time.Duration) []lifecycle.Action {
 		var all []one
 		for i := range s.specs {
-			if phase, n := s.plan.Phase(i); phase != plan.Up || n != 1 {
+			if phase, n := s.plan.Phase(i); phase != lifecycle.Ready || n != 1 {
 				continue
 			}
 			for id := range s.procs[i] {
--- a/internal/fleet/supervisor/everywhere.go
+++ b/internal/fleet/supervisor/everywhere.go
@@ -14,8 +14,8 @@
 
 	"otterspring/internal/fleet/council"
 	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/everywhere"
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/lifecycle"
+	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 )
@@ -52,10 +52,10 @@
 
 // told is its answer.
 type told struct {
-	Refused string          `json:"refused,omitempty"`
-	Host    everywhere.Host `json:"host"`
-	Index   int64           `json:"index,omitempty"` // version of the list that it has cached
-	Late    int             `json:"late"`            // effects that were refused since the start
+	Refused string             `json:"refused,omitempty"`
+	Host    rollout.HostStatus `json:"host"`
+	Index   int64              `json:"index,omitempty"` // version of the list that it has cached
+	Late    int                `json:"late"`            // effects that were refused since the start
 }
 
 // fact is what the council keeps of a host.
@@ -107,7 +107,7 @@
 			seen = 0
 		}
 		first := !known // read by the goroutine of Run, while this one goes on
-		s.send(ctx, func(time.Duration) []plan.Action {
+		s.send(ctx, func(time.Duration) []lifecycle.Action {
 			for duty, t := range a.Duties {
 				before := s.fence.Newest(duty)
 				s.fence.Hear(duty, t)
@@ -184,7 +184,7 @@
 // owner is this process while it owns the roll.
 type owner struct {
 	*reign
-	note  everywhere.Note
+	note  rollout.Checkpoint
 	noted time.Time
 }
 
@@ -204,7 +204,7 @@
 		if open == nil {
 			return "no order is left"
 		}
-		var order everywhere.Order
+		var order rollout.Request
 		if err := json.Unmarshal(open.Words, &order); err != nil {
 			o.end(ctx, open.ID, fmt.Sprintf("found no order in %.100s: %v", open.Words, err))
 			continue
@@ -213,38 +213,38 @@
 			json.Unmarshal(d.Note, &o.note)
 		}
 		hosts := o.look(a.State.Facts)
-		if o.note.Order != open.ID {
+		if o.note.RolloutID != open.ID {
 			// What runs now is what to go back to: it is written down before anything begins,
 			// for each order anew, and of every host.
-			if slices.ContainsFunc(hosts, func(h everywhere.Host) bool { return !h.Reached }) {
+			if slices.ContainsFunc(hosts, func(h rollout.HostStatus) bool { return !h.Contacted }) {
 				continue
 			}
-			o.note = everywhere.Note{Order: open.ID, Before: map[string]string{}}
+			o.note = rollout.Checkpoint{RolloutID: open.ID, PreviousPrograms: map[string]string{}}
 			for _, h := range hosts {
-				o.note.Before[h.Name] = h.Program
+				o.note.PreviousPrograms[h.Name] = h.Program
 			}
 			if !o.tell(ctx, true) {
-				o.note = everywhere.Note{} // not known to stand: once more
+				o.note = rollout.Checkpoint{} // not known to stand: once more
 				continue
 			}
 		}
 		first = false
-		d := everywhere.Next(open.ID, order, o.note, hosts)
-		if d.Back && !o.note.Back {
-			o.note.Back = true
+		d := rollout.Decide(open.ID, order, o.note, hosts)
+		if d.RollBack && !o.note.RollingBack {
+			o.note.RollingBack = true
 			if !o.tell(ctx, true) {
-				o.note.Back = false
+				o.note.RollingBack = false
 			}
 			continue
 		}
-		changed := o.note.Done != d.Done || o.note.Of != d.Of || o.note.Wait != d.Wait
-		o.note.Done, o.note.Of, o.note.Wait = d.Done, d.Of, d.Wait
+		changed := o.note.Completed != d.Completed || o.note.Total != d.Total || o.note.Waiting != d.Waiting
+		o.note.Completed, o.note.Total, o.note.Waiting = d.Completed, d.Total, d.Waiting
 		if changed {
 			o.tell(ctx, false)
 		}
-		if d.End != "" {
+		if d.Result != "" {
 			o.tell(ctx, true)
-			o.end(ctx, open.ID, d.End)
+			o.end(ctx, open.ID, d.Result)
 			continue
 		}
 		o.act(ctx, d.Steps, a.State.Facts)
@@ -269,8 +269,8 @@
 }
 
 // look asks all hosts how they are. By it each hears of this epoch.
-func (o *owner) look(facts map[string]json.RawMessage) []everywhere.Host {
-	hosts := make([]everywhere.Host, 0, len(facts))
+func (o *owner) look(facts map[string]json.RawMessage) []rollout.HostStatus {
+	hosts := make([]rollout.HostStatus, 0, len(facts))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan bool, mostAsking)
@@ -281,10 +281,10 @@
 		wg.Go(func() {
 			defer func() { <-slots }()
 			t, err := o.effect(f.Address, effect{Do: "look"})
-			h := everywhere.Host{Name: name, Zone: f.Zone}
+			h := rollout.HostStatus{Name: name, Zone: f.Zone}
 			if err == nil && t.Refused == "" {
 				h = t.Host
-				h.Reached = true
+				h.Contacted = true
 			}
 			mu.Lock()
 			hosts = append(hosts, h)
@@ -296,7 +296,7 @@
 }
 
 // act carries the steps out, each behind its own look at the tenure.
-func (o *owner) act(ctx context.Context, steps []everywhere.Step, facts map[string]json.RawMessage) {
+func (o *owner) act(ctx context.Context, steps []rollout.Step, facts map[string]json.RawMessage) {
 	var wg sync.WaitGroup
 	for _, step := range steps {
 		if ctx.Err() != nil || !o.held() {
@@ -310,7 +310,7 @@
 			if step.Reload {
 				do = "reload"
 			}
-			t, err := o.effect(f.Address, effect{Do: do, Instance: step.Instance, Order: step.Order, Program: step.Program})
+			t, err := o.effect(f.Address, effect{Do: do, Instance: step.Instance, Order: step.RolloutID, Program: step.Program})
 			switch {
 			case err != nil:
 				o.s.log.Warn(fmt.Sprintf("council: %s of %s: %v", step.Instance, step.Host, err), logs.Cause("effect"))
@@ -336,7 +336,7 @@
 		return
 	}
 	answer := make(chan told, 1)
-	s.send(r.Context(), func(now time.Duration) []plan.Action {
+	s.send(r.Context(), func(now time.Duration) []lifecycle.Action {
 		t, acts := s.effect(now, e)
 		answer <- t
 		return acts
@@ -349,8 +349,8 @@
 	}
 }
 
-func (s *Supervisor) effect(now time.Duration, e effect) (told, []plan.Action) {
-	refused := func(err error) (told, []plan.Action) {
+func (s *Supervisor) effect(now time.Duration, e effect) (told, []lifecycle.Action) {
+	refused := func(err error) (told, []lifecycle.Action) {
 		s.say("refused: %s of epoch %v of %s: %v", e.Do, e.Epoch, e.Owner, err)
 		return told{Refused: err.Error(), Late: s.fence.Refused}, nil
 	}
@@ -359,7 +359,7 @@
 		return refused(err)
 	}
 	s.heardOf(e.Duty, before)
-	var acts []plan.Action
+	var acts []lifecycle.Action
 	switch e.Do {
 	case "look":
 	case "list":
@@ -373,10 +373,10 @@
 		if err != nil {
 			return refused(err)
 		}
-		if s.orders[which[0]] == e.Order || s.next != nil && s.next.order == e.Order && s.next.which == which[0] && s.plan.Rolling() {
+		if s.orders[which[0]] == e.Order || s.next != nil && s.next.order == e.Order && s.next.which == which[0] && s.plan.UpdateInProgress() {
 			break // it was done, or is under way: the owner asks again what it has no answer to
 		}
-		if phase, n := s.plan.Phase(which[0]); phase != plan.Up || n != 1 {
+		if phase, n := s.plan.Phase(which[0]); phase != lifecycle.Ready || n != 1 {
 			return refused(fmt.Errorf("%s: found it %v, wanted it up", e.Instance, phase))
 		}
 		args := []string{e.Instance}
@@ -407,14 +407,14 @@
 }
 
 // host is this host as an owner needs it.
-func (s *Supervisor) host() everywhere.Host {
-	h := everywhere.Host{Name: s.file.Council.Host, Zone: s.file.Council.Zone, Program: s.program}
-	if s.plan.Rolling() {
-		h.Rolling = s.plan.RollText()
+func (s *Supervisor) host() rollout.HostStatus {
+	h := rollout.HostStatus{Name: s.file.Council.Host, Zone: s.file.Council.Zone, Program: s.program}
+	if s.plan.UpdateInProgress() {
+		h.LocalUpdate = s.plan.UpdateStatus()
 	}
 	for i, spec := range s.specs {
 		phase, n := s.plan.Phase(i)
-		h.Instances = append(h.Instances, everywhere.Instance{Name: spec.Name, Up: phase == plan.Up && n == 1, Order: s.orders[i], Failed: s.failed[i]})
+		h.Instances = append(h.Instances, rollout.InstanceStatus{Name: spec.Name, Ready: phase == lifecycle.Ready && n == 1, RolloutID: s.orders[i], FailedRolloutID: s.failed[i]})
 	}
 	return h
 }
@@ -422,7 +422,7 @@
 // orderOver takes that the turn of one instance for an order has ended, well or not.
 func (s *Supervisor) orderOver(well bool) {
 	switch {
-	case s.next == nil || s.next.order == "" || !well && s.plan.Rolling():
+	case s.next == nil || s.next.order == "" || !well && s.plan.UpdateInProgress():
 		return
 	case well:
 		s.orders[s.next.which] = s.next.order
--- a/internal/fleet/supervisor/file.go
+++ b/internal/fleet/supervisor/file.go
@@ -1,6 +1,6 @@
 // Package supervisor supervises many instances on one host as child processes: it
 // starts, watches, restarts and reloads them. What it does next is decided by
-// package plan; this package has the processes, sockets and files.
+// package lifecycle; this package has the processes, sockets and files.
 package supervisor
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/strictfile"
 )
 
@@ -59,14 +59,14 @@
 	Within time.Duration `toml:"within" min:"0s" max:"10m"` // 0 for never
 }
 
-// Instance is one instance that is named by itself.
+// InstanceStatus is one instance that is named by itself.
 type Instance struct {
 	Name   string `toml:"name" need:"true"`
 	Listen string `toml:"listen" need:"true"`
 	Config string `toml:"config"` // its own template
 }
 
-// Start spreads the starts so that discovery can follow: a start costs it one
+// StartProcess spreads the starts so that discovery can follow: a start costs it one
 // call and the whole list.
 type Start struct {
 	Lines     int           `toml:"discovery_lines" min:"1" max:"100000"` // a second, that may be used
@@ -267,12 +267,12 @@
 }
 
 // plan is the file as the decisions see it.
-func (f *File) plan() plan.Config {
+func (f *File) plan() lifecycle.Config {
 	perStart := float64(f.Start.CallLines+f.Start.ListLines) / float64(f.Start.Lines)
-	return plan.Config{
-		Gap:         time.Duration(perStart * float64(time.Second)),
-		ReadyWithin: f.Start.Ready, EndWithin: f.Restart.EndWithin,
-		AtOnce: f.Restart.AtOnce, HandOver: f.Restart.Mode == "handover", PauseAfter: f.Restart.PauseAfter,
-		BackoffFirst: f.Crash.First, BackoffMost: f.Crash.Most, LoopCrashes: f.Crash.Loop, LoopWithin: f.Crash.Within,
+	return lifecycle.Config{
+		StartInterval: time.Duration(perStart * float64(time.Second)),
+		ReadyTimeout:  f.Start.Ready, ShutdownTimeout: f.Restart.EndWithin,
+		MaxConcurrent: f.Restart.AtOnce, Handover: f.Restart.Mode == "handover", PauseAfterFailures: f.Restart.PauseAfter,
+		InitialBackoff: f.Crash.First, MaxBackoff: f.Crash.Most, CrashLoopCount: f.Crash.Loop, CrashLoopWindow: f.Crash.Within,
 	}
 }
--- a/internal/fleet/supervisor/list.go
+++ b/internal/fleet/supervisor/list.go
@@ -16,7 +16,7 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/duty/list"
+	"otterspring/internal/fleet/endpointlist"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 )
@@ -80,8 +80,8 @@
 	owning atomic.Bool
 
 	mu           sync.Mutex
-	cache        *list.Cache
-	watcher      *list.Watcher
+	cache        *endpointlist.Cache
+	watcher      *endpointlist.Watcher
 	changed      chan struct{} // closed and replaced with each newer version
 	failingSince time.Duration // calls to discovery; 0 if the last one succeeded
 	backoffUntil time.Duration // until when the duty is left to others
@@ -97,13 +97,13 @@
 	if err != nil {
 		return fmt.Errorf("list.listen: %w", err)
 	}
-	settings := list.Settings{HeartbeatTimeout: f.HeartbeatTimeout, Jitter: f.Jitter, StalenessLimit: f.StalenessLimit}
+	settings := endpointlist.Settings{HeartbeatTimeout: f.HeartbeatTimeout, Jitter: f.Jitter, StalenessLimit: f.StalenessLimit}
 	p := &listProxy{
 		supervisor: s,
 		duty:       listDuty(s.file.Council.Zone),
 		settings:   f,
-		cache:      list.NewCache(f.Source),
-		watcher:    list.NewWatcher(settings, s.file.Council.Host, bootclock.Now()),
+		cache:      endpointlist.NewCache(f.Source),
+		watcher:    endpointlist.NewWatcher(settings, s.file.Council.Host, bootclock.Now()),
 		changed:    make(chan struct{}),
 	}
 	s.listProxy = p
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := list.Decode(text, p.settings.Source, since)
+	u, err := endpointlist.Decode(text, p.settings.Source, since)
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 }
 
 // apply takes an update and wakes the watches that wait for a newer version.
-func (p *listProxy) apply(u list.Update, sender string) error {
+func (p *listProxy) apply(u endpointlist.Update, sender string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	newer, err := p.cache.Apply(u)
@@ -228,14 +228,14 @@
 	if p == nil || e.List == nil || e.Duty != p.duty {
 		return 0, errors.New("found a list, wanted none here")
 	}
-	u, err := list.Decode(e.List.Text, e.List.Source, e.List.From)
+	u, err := endpointlist.Decode(e.List.Text, e.List.Source, e.List.From)
 	if err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
 	before := p.cache.Version
 	p.mu.Unlock()
-	if err = p.apply(u, e.Owner); err != nil && !errors.Is(err, list.ErrGap) {
+	if err = p.apply(u, e.Owner); err != nil && !errors.Is(err, endpointlist.ErrGap) {
 		return 0, err // of another discovery: this host's heartbeat timeout runs on
 	}
 	p.mu.Lock()
@@ -285,7 +285,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wg.Go(func() { p.watchHosts(ctx, &addresses, hosts) })
-	publisher := list.NewPublisher(listHeartbeatInterval, maxListPushes)
+	publisher := endpointlist.NewPublisher(listHeartbeatInterval, maxListPushes)
 	acknowledgements := make(chan acknowledgement, maxListPushes)
 	for {
 		p.mu.Lock()
@@ -374,7 +374,7 @@
 func (p *listProxy) setOwner(owner bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.watcher.SetOwner(owner, bootclock.Now())
+	p.watcher.SetLeader(owner, bootclock.Now())
 }
 
 // cached is what the proxy has for one request of a sidecar.
@@ -382,8 +382,8 @@
 	initialized bool
 	fresh       bool
 	version     int64
-	update      list.Update   // without a source if there is nothing to send yet
-	changed     chan struct{} // closed with the next version
+	update      endpointlist.Update // without a source if there is nothing to send yet
+	changed     chan struct{}       // closed with the next version
 }
 
 // lookUp returns what the cache has beyond a version; an update without changes
@@ -434,7 +434,7 @@
 	}
 }
 
-func writeUpdate(w http.ResponseWriter, u *list.Update) {
+func writeUpdate(w http.ResponseWriter, u *endpointlist.Update) {
 	text := u.Encode()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -25,7 +25,7 @@
 	"otterspring/internal/disk"
 	"otterspring/internal/fleet/council"
 	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 	"otterspring/internal/unixsocket"
@@ -37,11 +37,11 @@
 type Supervisor struct {
 	file      *File
 	specs     []Spec
-	plan      *plan.Plan
+	plan      *lifecycle.Controller
 	procs     []map[int]*process // of each instance, by the plan's number
 	program   string             // that starts are of
 	next      *release           // being rolled out; nil if nothing is
-	events    chan func(now time.Duration) []plan.Action
+	events    chan func(now time.Duration) []lifecycle.Action
 	origin    time.Time
 	seen      time.Duration // of the latest look, or the end of the wait behind it
 	lock      *os.File
@@ -75,13 +75,13 @@
 	Listen string `json:"listen"`
 	PID    int    `json:"pid"` // 0: none runs
 	Start  string `json:"start"`
-	// Order is the council's that the instance was restarted for last, under Program.
+	// RolloutID is the council's that the instance was restarted for last, under Program.
 	// A process bears it too; this is for a host that lost all of them at once.
 	Order   string `json:"order,omitempty"`
 	Program string `json:"program,omitempty"`
 }
 
-// New prepares the fleet of a file. It takes hold of the directory: a second
+// FromRelease prepares the fleet of a file. It takes hold of the directory: a second
 // supervisor is turned away. What happens is said in log.
 func New(f *File, log *slog.Logger) (*Supervisor, error) {
 	specs, err := f.Specs()
@@ -93,14 +93,14 @@
 	}
 	s := &Supervisor{
 		file: f, specs: specs, program: f.Program, origin: time.Now(),
-		events: make(chan func(time.Duration) []plan.Action), log: log,
+		events: make(chan func(time.Duration) []lifecycle.Action), log: log,
 		fence: council.NewFence(), orders: map[int]string{}, failed: map[int]string{},
 	}
 	s.ctx, s.end = context.WithCancel(context.Background())
 	for range specs {
 		s.procs = append(s.procs, map[int]*process{})
 	}
-	if s.plan, err = plan.New(f.plan(), len(specs), rand.Uint64()); err != nil {
+	if s.plan, err = lifecycle.New(f.plan(), len(specs), rand.Uint64()); err != nil {
 		return nil, err
 	}
 	if s.lock, err = disk.Open(filepath.Join(f.Directory, "fleet.lock"), os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600); err != nil {
@@ -150,8 +150,8 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	stop := ctx.Done()
-	for !s.plan.Stopped() {
-		s.seen = s.plan.Next(s.look())
+	for !s.plan.AllStopped() {
+		s.seen = s.plan.NextTick(s.look())
 		timer.Reset(s.seen - s.now())
 		select {
 		case <-stop:
@@ -184,7 +184,7 @@
 	now := s.now()
 	if d := now - s.seen; d > stoodAfter {
 		s.say("stood still for %v: all time limits are that much longer", d.Round(10*time.Millisecond))
-		s.plan.Stood(d)
+		s.plan.Suspended(d)
 	}
 	s.seen = now
 	return now
@@ -200,7 +200,7 @@
 }
 
 // send hands an event to Run; it is dropped once that has returned.
-func (s *Supervisor) send(ctx context.Context, f func(time.Duration) []plan.Action) {
+func (s *Supervisor) send(ctx context.Context, f func(time.Duration) []lifecycle.Action) {
 	select {
 	case s.events <- f:
 	case <-ctx.Done():
@@ -286,7 +286,7 @@
 		s.orders[i] = p.order
 		s.say("%s: process %d adopted", s.specs[i].Name, p.pid)
 	} else if n == 0 {
-		p.id = s.plan.AdoptEnding(s.now(), i)
+		p.id = s.plan.AdoptTerminating(s.now(), i)
 		s.say("%s: process %d runs and does not say that it is up; its end is awaited", s.specs[i].Name, p.pid)
 	} else {
 		s.say("%s: process %d is a second one, as after a hand-over; it is left to its drain", s.specs[i].Name, p.pid)
@@ -327,7 +327,7 @@
 // ended passes the end of a process on. It is called by the goroutine that
 // waited for it; what it knows goes to Run.
 func (s *Supervisor) ended(i int, p *process, clean bool, how string) {
-	s.send(s.ctx, func(now time.Duration) []plan.Action {
+	s.send(s.ctx, func(now time.Duration) []lifecycle.Action {
 		unix.Close(p.fd)
 		delete(s.procs[i], p.id)
 		inject.At("fleet-saw-the-end")
@@ -339,31 +339,31 @@
 			}
 			s.say("%s: process %d ended: %s%s", s.specs[i].Name, p.pid, how, line)
 		}
-		return s.plan.Ended(now, i, p.id, clean)
+		return s.plan.ProcessExited(now, i, p.id, clean)
 	})
 }
 
 // carry does what the plan says.
-func (s *Supervisor) carry(acts []plan.Action) {
+func (s *Supervisor) carry(acts []lifecycle.Action) {
 	for len(acts) > 0 {
 		a := acts[0]
 		acts = acts[1:]
 		switch a.Kind {
-		case plan.Start:
+		case lifecycle.StartProcess:
 			acts = append(acts, s.start(a)...)
-		case plan.Term:
+		case lifecycle.TerminateProcess:
 			s.signal(a, syscall.SIGTERM)
-		case plan.KillIt:
+		case lifecycle.KillProcess:
 			s.signal(a, syscall.SIGKILL)
-		case plan.Hup:
+		case lifecycle.ReloadProcess:
 			s.reload(a)
-		case plan.Keep:
+		case lifecycle.CommitRelease:
 			if s.next != nil {
 				s.program, s.specs = s.next.program, s.next.specs
 				s.orderOver(true)
 				s.next = nil
 			}
-		case plan.Say:
+		case lifecycle.Report:
 			name := "fleet"
 			if a.Instance >= 0 {
 				name = s.specs[a.Instance].Name
@@ -384,8 +384,8 @@
 
 // of returns the program and the instance's words that a start or a reload is
 // of.
-func (s *Supervisor) of(a plan.Action) (string, Spec) {
-	if a.New && s.next != nil {
+func (s *Supervisor) of(a lifecycle.Action) (string, Spec) {
+	if a.FromRelease && s.next != nil {
 		return s.next.program, s.next.specs[a.Instance]
 	}
 	return s.program, s.specs[a.Instance]
@@ -393,11 +393,11 @@
 
 // start starts a process and watches it. It returns what follows of a start
 // that failed.
-func (s *Supervisor) start(a plan.Action) []plan.Action {
+func (s *Supervisor) start(a lifecycle.Action) []lifecycle.Action {
 	program, spec := s.of(a)
 	env := []string{"RELAY_NAME=" + spec.Name, "RELAY_LISTEN=" + spec.Listen, markKey + "=" + s.file.Directory}
 	order := s.orders[a.Instance]
-	if a.New && s.next != nil && s.next.order != "" {
+	if a.FromRelease && s.next != nil && s.next.order != "" {
 		order = s.next.order
 	}
 	env = append(env, orderKey+"="+order)
@@ -414,7 +414,7 @@
 		inject.At("fleet-starts")
 		cmd, p, e := spawn(program, spec.Args, env, s.logPath(a.Instance))
 		if err = e; err == nil {
-			p.id, p.order, p.program = a.Proc, order, program
+			p.id, p.order, p.program = a.Process, order, program
 			s.procs[a.Instance][p.id] = p
 			inject.At("fleet-started")
 			s.save()
@@ -424,7 +424,7 @@
 		}
 	}
 	s.say("%s: start: %v", spec.Name, err)
-	return s.plan.Ended(s.now(), a.Instance, a.Proc, false)
+	return s.plan.ProcessExited(s.now(), a.Instance, a.Process, false)
 }
 
 // addressFree tells whether an instance without a process can have its address.
@@ -447,7 +447,7 @@
 		defer s.wg.Done()
 		if awaitUp(ctx, addr, func(u upState) bool { return u.pid == p.pid }) {
 			inject.At("fleet-saw-it-ready")
-			s.send(ctx, func(now time.Duration) []plan.Action { return s.plan.Ready(now, i, p.id) })
+			s.send(ctx, func(now time.Duration) []lifecycle.Action { return s.plan.ProcessReady(now, i, p.id) })
 		}
 	}()
 	go func() {
@@ -463,9 +463,9 @@
 }
 
 // reload brings an instance its configuration and tells it.
-func (s *Supervisor) reload(a plan.Action) {
+func (s *Supervisor) reload(a lifecycle.Action) {
 	_, spec := s.of(a)
-	p := s.procs[a.Instance][a.Proc]
+	p := s.procs[a.Instance][a.Process]
 	if p == nil {
 		return
 	}
@@ -488,17 +488,17 @@
 		}) {
 			return // the plan's own time limit ends it
 		}
-		s.send(ctx, func(now time.Duration) []plan.Action {
+		s.send(ctx, func(now time.Duration) []lifecycle.Action {
 			if after.bad > before.bad {
-				return s.plan.Unready(now, a.Instance, a.Proc)
+				return s.plan.ReloadFailed(now, a.Instance, a.Process)
 			}
-			return s.plan.Ready(now, a.Instance, a.Proc)
+			return s.plan.ProcessReady(now, a.Instance, a.Process)
 		})
 	}()
 }
 
-func (s *Supervisor) signal(a plan.Action, sig syscall.Signal) {
-	p := s.procs[a.Instance][a.Proc]
+func (s *Supervisor) signal(a lifecycle.Action, sig syscall.Signal) {
+	p := s.procs[a.Instance][a.Process]
 	if p == nil {
 		return
 	}
@@ -531,7 +531,7 @@
 				return
 			}
 			answer := make(chan string, 1)
-			s.send(ctx, func(now time.Duration) []plan.Action {
+			s.send(ctx, func(now time.Duration) []lifecycle.Action {
 				text, acts, err := s.command(now, strings.Fields(line))
 				if err != nil {
 					text = "error: " + err.Error() + "\n"
@@ -551,7 +551,7 @@
 }
 
 // command carries out one command of an operator.
-func (s *Supervisor) command(now time.Duration, words []string) (string, []plan.Action, error) {
+func (s *Supervisor) command(now time.Duration, words []string) (string, []lifecycle.Action, error) {
 	if len(words) == 0 {
 		return "", nil, errors.New("wanted a verb")
 	}
@@ -572,14 +572,14 @@
 		if err != nil {
 			return "", nil, err
 		}
-		return s.plan.RollText() + "\n", acts, nil
+		return s.plan.UpdateStatus() + "\n", acts, nil
 	}
 	return "", nil, fmt.Errorf("found %q, wanted status, restart, reload, resume, cancel or stop", verb)
 }
 
 // roll begins a rolling restart or reload: [-program PATH] [NAME...]. The fleet
 // file and its templates are read again.
-func (s *Supervisor) roll(now time.Duration, reload bool, args []string) ([]plan.Action, error) {
+func (s *Supervisor) roll(now time.Duration, reload bool, args []string) ([]lifecycle.Action, error) {
 	f, err := LoadFile(s.file.Path)
 	if err != nil {
 		return nil, err
@@ -610,11 +610,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var acts []plan.Action
+	var acts []lifecycle.Action
 	if reload {
-		acts, err = s.plan.ReloadAll(now, which, true)
+		acts, err = s.plan.RollingReload(now, which, true)
 	} else {
-		acts, err = s.plan.RestartAll(now, which, true)
+		acts, err = s.plan.RollingRestart(now, which, true)
 	}
 	if err == nil {
 		s.next = next
@@ -643,7 +643,7 @@
 // status words the state of the fleet.
 func (s *Supervisor) status() string {
 	var b strings.Builder
-	counts := map[plan.Phase]int{}
+	counts := map[lifecycle.Phase]int{}
 	for i, spec := range s.specs {
 		phase, _ := s.plan.Phase(i)
 		counts[phase]++
@@ -653,12 +653,12 @@
 		}
 		b.WriteByte('\n')
 	}
-	fmt.Fprintf(&b, "%d instances, %d up", len(s.specs), counts[plan.Up])
-	if n := counts[plan.GivenUp]; n > 0 {
+	fmt.Fprintf(&b, "%d instances, %d up", len(s.specs), counts[lifecycle.Ready])
+	if n := counts[lifecycle.CrashLooping]; n > 0 {
 		fmt.Fprintf(&b, ", %d given up", n)
 	}
 	b.WriteByte('\n')
-	if text := s.plan.RollText(); text != "" {
+	if text := s.plan.UpdateStatus(); text != "" {
 		fmt.Fprintf(&b, "roll: %s\n", text)
 	}
 	for _, line := range s.said[max(0, len(s.said)-5):] {
