--- a/internal/fleet/endpointlist/endpointlist_test.go
+++ b/internal/fleet/endpointlist/cache_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"strings"
 	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 )
@@ -42,12 +42,14 @@
 	all := map[string]string{}
 	u := c.Since(0)
 	for _, e := range u.Entries {
-		var v struct {
-			Status string
-			Since  int64 `json:"since_ms"`
+		var entry struct {
+			Status string `json:"status"`
+			Since  int64  `json:"since_ms"`
 		}
-		json.Unmarshal(e.JSON, &v)
-		all[e.Name] = fmt.Sprintf("%s %d", v.Status, v.Since)
+		if err := json.Unmarshal(e.JSON, &entry); err != nil {
+			panic(err) // it was read as JSON before
+		}
+		all[e.Name] = fmt.Sprintf("%s %d", entry.Status, entry.Since)
 	}
 	return all
 }
@@ -96,10 +98,10 @@
 				}
 				apply(t, to, decoded)
 			},
-			"of another discovery": func(t *rapid.T) {
+			"of another source": func(t *rapid.T) {
 				c := rapid.SampledFrom(caches).Draw(t, "cache")
-				if _, err := c.Apply(Update{Source: "e", Version: 1 << 30}); err == nil {
-					t.Fatal("applied")
+				if _, err := c.Apply(Update{Source: "e", Version: 1 << 30}); !errors.Is(err, ErrSourceMismatch) {
+					t.Fatalf("found %v, wanted %v", err, ErrSourceMismatch)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -117,37 +119,38 @@
 }
 
 func apply(t *rapid.T, c *Cache, u Update) {
+	t.Helper()
 	before := c.Version
 	newer, err := c.Apply(u)
 	if c.Version < before || newer != (c.Version > before) || err != nil && newer {
 		t.Fatalf("applied version %d at %d: now %d, newer %v, %v", u.Version, before, c.Version, newer, err)
 	}
-	if err == ErrGap && u.From <= before && before > 0 {
+	if errors.Is(err, ErrGap) && u.From <= before && before > 0 {
 		t.Fatalf("a gap from %d at %d", u.From, before)
 	}
 }
 
 // A server joins and leaves between two versions, and a host at a version in between
-// is updated by an owner that got the later one as a snapshot: it must not keep the
-// server.
+// is updated by a lease holder that got the later one as a snapshot: the
+// server must not stay in its cache.
 func TestSnapshotIsNoDeltaFromTheVersionBefore(t *testing.T) {
-	whole := func(version int64, names ...string) Update {
+	snapshotOf := func(version int64, names ...string) Update {
 		u := Update{Source: "d", Version: version}
 		for _, n := range names {
 			u.Entries = append(u.Entries, Entry{Name: n, Status: "active", JSON: text(n, "active 1")})
 		}
 		return u
 	}
-	owner, host := NewCache("d"), NewCache("d")
-	for _, x := range []struct {
-		c *Cache
-		u Update
-	}{{owner, whole(1, "s0")}, {owner, whole(3, "s0")}, {host, whole(2, "s0", "s3")}} {
-		if _, err := x.c.Apply(x.u); err != nil {
+	leader, host := NewCache("d"), NewCache("d")
+	for _, step := range []struct {
+		cache  *Cache
+		update Update
+	}{{leader, snapshotOf(1, "s0")}, {leader, snapshotOf(3, "s0")}, {host, snapshotOf(2, "s0", "s3")}} {
+		if _, err := step.cache.Apply(step.update); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := host.Apply(owner.Since(1)); err != nil {
+	if _, err := host.Apply(leader.Since(1)); err != nil {
 		t.Fatal(err)
 	}
 	if got := snapshot(host); host.Version != 3 || len(got) != 1 {
@@ -183,8 +186,8 @@
 	}
 }
 
-// Servers that have left are not remembered without bound; who asks for changes from
-// before then gets a snapshot.
+// Servers that have left are not remembered without bound; a subscriber at a version
+// before the oldest that is remembered gets a snapshot.
 func TestDepartedServersAreForgotten(t *testing.T) {
 	c := NewCache("d")
 	if _, err := c.Apply(Update{Source: "d", Version: 1, Entries: []Entry{{Name: "s", Status: "active", JSON: text("s", "active 1")}}}); err != nil {
@@ -196,7 +199,7 @@
 			t.Fatal(err)
 		}
 	}
-	if len(c.entries) != MaxDeparted+1 || len(c.order) != len(c.entries) {
+	if len(c.entries) != MaxDeparted+1 || len(c.names) != len(c.entries) {
 		t.Errorf("%d servers are remembered", len(c.entries))
 	}
 	if u := c.Since(50); u.From != 0 || len(u.Entries) != 1 {
@@ -206,125 +209,3 @@
 		t.Errorf("changes since 200 of %d: from %d, %d servers", c.Version, u.From, len(u.Entries))
 	}
 }
-
-func TestBadLists(t *testing.T) {
-	for in, want := range map[string]string{
-		`{`:                          "list:",
-		`{"index":1,"endpoints":[]}`: "wanted index, snapshot",
-		`{"index":-1,"snapshot":true,"endpoints":[]}`:                                     "wanted index, snapshot",
-		`{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"gone"}]}`:          "endpoint 0",
-		`{"index":1,"snapshot":true,"endpoints":[{"status":"active"}]}`:                   "endpoint 0",
-		`{"index":1,"snapshot":false,"endpoints":[{"name":"s","status":"active"}]}`:       "wanted the whole list",
-		`{"index":"1","snapshot":true,"endpoints":[{"name":"s","status":"active"}]}`:      "list:",
-		`{"index":1,"snapshot":true,"endpoints":{"name":"s","status":"active"},"x":null}`: "list:",
-	} {
-		if _, err := Decode([]byte(in), "d", 0); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, wanted %q", in, err, want)
-		}
-	}
-}
-
-// A host watches discovery itself once the owner's heartbeats have timed out, which
-// differs from host to host, and no more once one arrives; no cache is served for
-// longer than the staleness limit.
-func TestWatcher(t *testing.T) {
-	settings := Settings{HeartbeatTimeout: 2 * time.Second, Jitter: 4 * time.Second, StalenessLimit: 5 * time.Second}
-	started := map[time.Duration]int{}
-	for i := range 300 {
-		w := NewWatcher(settings, fmt.Sprint("host", i), 0)
-		if w.Fresh(0) {
-			t.Fatal("fresh before it received anything")
-		}
-		if !w.ShouldWatch(0) || w.Fallback() || w.Initialized() {
-			t.Fatal("one that has just started does not watch")
-		}
-		w.Heartbeat(time.Second)
-		at := time.Second
-		for !w.ShouldWatch(at) {
-			at += 10 * time.Millisecond
-		}
-		if at <= 3*time.Second || at > 7*time.Second+10*time.Millisecond {
-			t.Fatalf("watches after %v", at)
-		}
-		started[at.Truncate(time.Second)]++
-		if w.Fresh(6*time.Second + 1) {
-			t.Fatal("fresh 5 s after the last heartbeat")
-		}
-		w.Answered(7 * time.Second)
-		if !w.Fresh(7*time.Second) || !w.Fallback() {
-			t.Fatal("answered by discovery, and not fresh or not in fallback")
-		}
-		w.Heartbeat(8 * time.Second)
-		if w.ShouldWatch(8*time.Second) || w.ShouldWatch(10*time.Second) {
-			t.Fatal("watches though it receives heartbeats")
-		}
-		// An owner relies on discovery's answers alone: its own heartbeats are no news.
-		w.SetLeader(true, 10*time.Second)
-		if !w.ShouldWatch(10*time.Second) || !w.Fresh(12*time.Second) || w.Fresh(13*time.Second+1) {
-			t.Fatal("an owner relies on the one before for the staleness limit, and no longer")
-		}
-		w.Heartbeat(13 * time.Second) // its own, to itself
-		if w.Fresh(13*time.Second + 1) {
-			t.Fatal("an owner without an answer is fresh by its own heartbeat")
-		}
-		w.SetLeader(false, 20*time.Second)
-		if w.ShouldWatch(21 * time.Second) {
-			t.Fatal("watches a second after it gave the duty up")
-		}
-	}
-	for at, n := range started {
-		if n > 300/4*3/2 {
-			t.Errorf("%d of 300 start in the second from %v on", n, at)
-		}
-	}
-}
-
-// The owner sends each host what it lacks, a few at a time, and a heartbeat to each in
-// every interval; one that does not answer delays nobody else.
-func TestPublisher(t *testing.T) {
-	p := NewPublisher(time.Second, 4)
-	p.SetHosts([]string{"a", "b", "c", "d", "e", "f"})
-	first := p.Due(0, 7)
-	if len(first) != 4 || len(p.Due(0, 7)) != 0 {
-		t.Fatalf("sent to %v at once", first)
-	}
-	for name, since := range first {
-		if since != 0 {
-			t.Errorf("%s: changes since %d, though its version is not known", name, since)
-		}
-		p.Acknowledged(name, 7, 10*time.Millisecond)
-	}
-	second := p.Due(10*time.Millisecond, 7)
-	if len(second) != 2 {
-		t.Fatalf("then %v", second)
-	}
-	unresponsive := ""
-	for name := range second {
-		if unresponsive == "" {
-			unresponsive = name
-			continue
-		}
-		p.Acknowledged(name, 5, 20*time.Millisecond) // it has an older version all the same
-	}
-	third := p.Due(30*time.Millisecond, 7)
-	if _, due := third[unresponsive]; len(third) != 1 || due {
-		t.Fatalf("then %v, and %s has not answered", third, unresponsive)
-	}
-	for name, since := range third {
-		if since != 5 {
-			t.Errorf("%s has 5 and is sent the changes since %d", name, since)
-		}
-		p.Acknowledged(name, 7, 30*time.Millisecond)
-	}
-	if n := len(p.Due(900*time.Millisecond, 7)); n != 0 {
-		t.Errorf("%d are sent something before the interval is over", n)
-	}
-	if n := len(p.Due(1100*time.Millisecond, 7)); n != 3 {
-		t.Errorf("%d are sent a heartbeat after a second while one is in flight, wanted 3 of 4 slots", n)
-	}
-	p.SetHosts([]string{"a"})
-	p.Acknowledged(unresponsive, -1, 2*time.Second)
-	if len(p.subscribers) > 5 {
-		t.Errorf("%d hosts are remembered", len(p.subscribers))
-	}
-}
--- a/internal/fleet/endpointlist/capacity_test.go
+++ b/internal/fleet/endpointlist/capacity_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// BenchmarkWholeList is what a snapshot costs: it is encoded by one host, decoded and
+// BenchmarkSnapshot is what a snapshot costs: it is encoded by one host, decoded and
 // applied by another.
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkSnapshot(b *testing.B) {
 	for _, servers := range capacitySizes {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			cache := capacityCache(b, servers)
@@ -86,8 +86,8 @@
 	}
 }
 
-// BenchmarkHeldMemory reports the heap that each server of a list takes at a host.
-func BenchmarkHeldMemory(b *testing.B) {
+// BenchmarkMemory reports the heap that each server of a list takes at a host.
+func BenchmarkMemory(b *testing.B) {
 	for _, servers := range capacitySizes {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			cost.Held(b, servers, "B/server", func() any { return capacityCache(b, servers) })
@@ -95,9 +95,9 @@
 	}
 }
 
-// BenchmarkTell is what an owner decides with for each host that has answered: it
-// does so once for each answer, and 50 times a second besides.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkDue is what a lease holder decides with for each host that has answered:
+// it does so once for each answer, and 50 times a second besides.
+func BenchmarkDue(b *testing.B) {
 	for _, hosts := range []int{12, 50, 100, 200, 512, 684, 1625} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			publisher := NewPublisher(500*time.Millisecond, 32)
@@ -121,7 +121,7 @@
 				}
 			})
 			if acknowledged == 0 {
-				b.Fatal("nobody was sent anything")
+				b.Fatal("no host was sent anything")
 			}
 		})
 	}
--- /dev/null
+++ b/internal/fleet/endpointlist/watcher.go
@@ -0,0 +1,87 @@
+package endpointlist
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Settings bound how long a host relies on what it received last.
+type Settings struct {
+	// HeartbeatTimeout is how long after the lease holder's last heartbeat a host
+	// watches discovery itself, plus a part of Jitter that is fixed by the host's name.
+	HeartbeatTimeout, Jitter time.Duration
+	// StalenessLimit is how long after the last heartbeat or answer of discovery the
+	// cache may still be served.
+	StalenessLimit time.Duration
+}
+
+// Watcher decides whether a host watches discovery itself, and whether its cache is
+// recent enough to be served.
+type Watcher struct {
+	settings    Settings
+	jitter      time.Duration // this host's part of Settings.Jitter
+	heartbeatAt time.Duration // the lease holder's last
+	answeredAt  time.Duration // discovery's last answer to this host
+	initialized bool          // any heartbeat or answer has arrived
+	fallback    bool          // the lease holder's heartbeats have timed out
+	leader      bool          // this host has the lease
+}
+
+// NewWatcher returns the decisions of a host that has received nothing yet.
+func NewWatcher(settings Settings, host string, now time.Duration) *Watcher {
+	w := &Watcher{settings: settings, heartbeatAt: now, answeredAt: now - settings.StalenessLimit}
+	if settings.Jitter > 0 {
+		w.jitter = time.Duration(xxhash.Sum64String(host) % uint64(settings.Jitter))
+	}
+	return w
+}
+
+// Heartbeat records a heartbeat of the lease holder that the fence accepted and whose
+// sender is itself up to date.
+func (w *Watcher) Heartbeat(now time.Duration) {
+	w.heartbeatAt, w.fallback, w.initialized = now, false, true
+}
+
+// Answered records an answer of discovery.
+func (w *Watcher) Answered(now time.Duration) { w.answeredAt, w.initialized = now, true }
+
+// SetLeader says whether this host has the lease. A host that releases it waits a
+// full heartbeat timeout for the next holder; one that acquires it relies at first on
+// the last heartbeat of the holder before.
+func (w *Watcher) SetLeader(leader bool, now time.Duration) {
+	if w.leader && !leader {
+		w.heartbeatAt = now
+	}
+	if !w.leader && leader && w.initialized {
+		w.answeredAt = max(w.answeredAt, w.heartbeatAt)
+	}
+	w.leader = leader
+}
+
+// Initialized reports whether any heartbeat or answer has arrived yet.
+func (w *Watcher) Initialized() bool { return w.initialized }
+
+// ShouldWatch reports whether this host watches discovery now: it has the lease, the
+// heartbeats of its holder have timed out, or the host has just started and its cache
+// is empty, where its sidecars would otherwise call discovery one by one.
+func (w *Watcher) ShouldWatch(now time.Duration) bool {
+	if now > w.heartbeatAt+w.settings.HeartbeatTimeout+w.jitter {
+		w.fallback = true
+	}
+	return w.leader || w.fallback || !w.initialized
+}
+
+// Fallback reports whether this host watches discovery without the lease, for want of
+// heartbeats.
+func (w *Watcher) Fallback() bool { return w.fallback && !w.leader }
+
+// Fresh reports whether the cache may be served. For the lease holder only answers of
+// discovery count: its own heartbeats prove nothing to itself.
+func (w *Watcher) Fresh(now time.Duration) bool {
+	confirmedAt := w.answeredAt
+	if !w.leader {
+		confirmedAt = max(w.answeredAt, w.heartbeatAt)
+	}
+	return w.initialized && now <= confirmedAt+w.settings.StalenessLimit
+}
--- /dev/null
+++ b/internal/fleet/endpointlist/watcher_test.go
@@ -0,0 +1,62 @@
+package endpointlist
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A host watches discovery itself once the lease holder's heartbeats have timed out, which
+// differs from host to host, and no more once one arrives; no cache is served for
+// longer than the staleness limit.
+func TestWatcher(t *testing.T) {
+	settings := Settings{HeartbeatTimeout: 2 * time.Second, Jitter: 4 * time.Second, StalenessLimit: 5 * time.Second}
+	started := map[time.Duration]int{}
+	for i := range 300 {
+		w := NewWatcher(settings, fmt.Sprint("host", i), 0)
+		if w.Fresh(0) {
+			t.Fatal("fresh before it received anything")
+		}
+		if !w.ShouldWatch(0) || w.Fallback() || w.Initialized() {
+			t.Fatal("one that has just started does not watch")
+		}
+		w.Heartbeat(time.Second)
+		at := time.Second
+		for !w.ShouldWatch(at) {
+			at += 10 * time.Millisecond
+		}
+		if at <= 3*time.Second || at > 7*time.Second+10*time.Millisecond {
+			t.Fatalf("watches after %v", at)
+		}
+		started[at.Truncate(time.Second)]++
+		if w.Fresh(6*time.Second + 1) {
+			t.Fatal("fresh 5 s after the last heartbeat")
+		}
+		w.Answered(7 * time.Second)
+		if !w.Fresh(7*time.Second) || !w.Fallback() {
+			t.Fatal("answered by discovery, and not fresh or not in fallback")
+		}
+		w.Heartbeat(8 * time.Second)
+		if w.ShouldWatch(8*time.Second) || w.ShouldWatch(10*time.Second) {
+			t.Fatal("watches though it receives heartbeats")
+		}
+		// A lease holder relies on discovery's answers alone: its own heartbeats confirm nothing.
+		w.SetLeader(true, 10*time.Second)
+		if !w.ShouldWatch(10*time.Second) || !w.Fresh(12*time.Second) || w.Fresh(13*time.Second+1) {
+			t.Fatal("a lease holder relies on the one before for the staleness limit, and no longer")
+		}
+		w.Heartbeat(13 * time.Second) // its own, to itself
+		if w.Fresh(13*time.Second + 1) {
+			t.Fatal("a lease holder without an answer is fresh by its own heartbeat")
+		}
+		w.SetLeader(false, 20*time.Second)
+		if w.ShouldWatch(21 * time.Second) {
+			t.Fatal("watches a second after it released the lease")
+		}
+	}
+	for at, n := range started {
+		if n > 300/4*3/2 {
+			t.Errorf("%d of 300 start in the second from %v on", n, at)
+		}
+	}
+}
--- a/internal/fleet/endpointlist/wire_test.go
+++ b/internal/fleet/endpointlist/wire_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"errors"
 	"flag"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 
 	"otterspring/internal/keytest"
@@ -61,3 +63,20 @@
 		}
 	}
 }
+
+func TestDecodeRejectsMalformedLists(t *testing.T) {
+	for in, want := range map[string]string{
+		`{`:                          "malformed endpoint list",
+		`{"index":1,"endpoints":[]}`: "wanted index, snapshot",
+		`{"index":-1,"snapshot":true,"endpoints":[]}`:                                     "wanted index, snapshot",
+		`{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"gone"}]}`:          "endpoint 0",
+		`{"index":1,"snapshot":true,"endpoints":[{"status":"active"}]}`:                   "endpoint 0",
+		`{"index":1,"snapshot":false,"endpoints":[{"name":"s","status":"active"}]}`:       "wanted a snapshot",
+		`{"index":"1","snapshot":true,"endpoints":[{"name":"s","status":"active"}]}`:      "malformed endpoint list",
+		`{"index":1,"snapshot":true,"endpoints":{"name":"s","status":"active"},"x":null}`: "malformed endpoint list",
+	} {
+		if _, err := Decode([]byte(in), "d", 0); !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v, wanted %q", in, err, want)
+		}
+	}
+}
