--- a/cmd/rig/main_test.go
+++ b/cmd/rig/main_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"os"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -95,11 +96,27 @@
 	if err := rigged(ctx(t), []string{"speed", "-rounds", "1", "-for", "1s", "-rates", "60,20", "-limit=false", "-against", "bare"}, &out); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"p50_60_more_ms=", "p99_20_more_ms=", "p99_60_ratio=", "rounds=1", "failed=0", "bare"} {
+	for _, want := range []string{"p50_60_more_ms=", "p99_20_more_ms=", "p99_60_ratio=", "rounds=1", " failed=", "bare"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %s in:\n%s", want, out.String())
 		}
 	}
+	// A sidecar that gets no processor time sheds load, as it should. Any other end
+	// of a request is a fault on a machine of any speed, and so is a call that fails
+	// with no sidecar in between.
+	rounds := regexp.MustCompile(`round 1  (\w+) .* failed (\d+), of them shed (\d+)\n`).FindAllStringSubmatch(out.String(), -1)
+	if len(rounds) != 2 {
+		t.Fatalf("found %d rounds, wanted one of each side in:\n%s", len(rounds), out.String())
+	}
+	for _, round := range rounds {
+		side, failed, shed := round[1], round[2], round[3]
+		if failed != shed || side == bareWord && failed != "0" {
+			t.Errorf("%s: %s requests failed, of which %s were shed; wanted no other failures, and none without a sidecar", side, failed, shed)
+		}
+		if side == "sidecar" && !strings.Contains(out.String(), " failed="+failed+"\n") {
+			t.Errorf("the last line does not end with failed=%s:\n%s", failed, out.String())
+		}
+	}
 	for _, other := range []string{"limit_ratio=", "cpu60_ratio=", "memory_ratio=", "NaN"} {
 		if strings.Contains(out.String(), other) {
 			t.Errorf("%s, which was not measured, in:\n%s", other, out.String())
--- a/cmd/rig/speed.go
+++ b/cmd/rig/speed.go
@@ -129,6 +129,7 @@
 	p50, p99 []time.Duration
 	peak     int64 // bytes
 	failed   int
+	shed     int // of those that failed: rejected with the promise that nothing was executed
 }
 
 const upstreams = 4
@@ -304,7 +305,7 @@
 	for i, rate := range rates {
 		line += fmt.Sprintf("at %.0f/s: CPU a request %4.0f us, p50 %5.2f ms, p99 %6.2f ms  ", rate, us(m.cpu[i]), ms(m.p50[i]), ms(m.p99[i]))
 	}
-	return line + fmt.Sprintf("peak %5.1f MB  failed %d\n", float64(m.peak)/(1<<20), m.failed)
+	return line + fmt.Sprintf("peak %5.1f MB  failed %d, of them shed %d\n", float64(m.peak)/(1<<20), m.failed, m.shed)
 }
 
 // narrow tells whether the intervals of CPU a request are as narrow as asked.
@@ -487,6 +488,9 @@
 			took.RecordValue(max(1, x.Took.Microseconds()))
 		} else {
 			m.failed++
+			if x.End == clients.EndRefused {
+				m.shed++
+			}
 		}
 	}
 	if took.TotalCount() == 0 {
