--- /dev/null
+++ b/internal/fleet/relay/format_test.go
@@ -0,0 +1,187 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"flag"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/keytest"
+)
+
+var record = flag.Bool("record", false, "write the exchanges in testdata anew instead of comparing them")
+
+// The keys of all that a relay marshals and reads are fixed.
+func TestKeysOfInfoAndFile(t *testing.T) {
+	t.Parallel()
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
+		{Role: "state of a relay", Encoding: "json", Value: Info{}},
+		{Role: "file of a relay", Encoding: "toml", Value: File{}},
+	})
+}
+
+// A file with every key means the same as before.
+func TestRecordedFile(t *testing.T) {
+	t.Parallel()
+	file, err := LoadFile("testdata/relay.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &File{
+		Path: "testdata/relay.toml", Region: "west", Members: []string{"127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003"},
+		Zone: "west-1", Name: "r1", Listen: "127.0.0.1:7000",
+		Connections: 100, SnapshotsAtOnce: 10, Drain: 3 * time.Second, WriteTimeout: 4 * time.Second,
+	}
+	if !reflect.DeepEqual(file, want) {
+		t.Errorf("found %+v, wanted %+v", file, want)
+	}
+}
+
+// varying are the parts of an exchange that differ from run to run.
+var varying = regexp.MustCompile(`(Date: |Host: |Content-Length: )[^\r]*|("age_ms":|"silent_ms":)[0-9]+`)
+
+// compareRecorded compares what was sent with a file, without its varying parts.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	got = varying.ReplaceAll(got, []byte("${1}${2}N"))
+	got = append(bytes.ReplaceAll(got, []byte("\r\n"), []byte("\n")), '\n')
+	if *record {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: found\n%s\nwanted\n%s", name, got, want)
+	}
+}
+
+// answerTo sends a request and returns the bytes of its answer.
+func answerTo(t *testing.T, address, request string) []byte {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, err := io.WriteString(conn, request); err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	response, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn, &got)), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil { // its length is checked here
+		t.Fatal(err)
+	}
+	return got.Bytes()
+}
+
+// What a relay answers to each kind of request stays the same byte for byte: paths,
+// headers, status and body.
+func TestRecordedExchanges(t *testing.T) {
+	t.Parallel()
+	council := newStandIn(t, "west#1")
+	version := council.put(t, settingsA, "mail", "orders")
+	r := start(t, testFile(council.address()))
+	r.holds(version)
+	post := func(body string) string {
+		return "POST /v1/configuration HTTP/1.1\r\nHost: relay\r\nContent-Type: application/json\r\nContent-Length: " +
+			jsonNumber(len(body)) + "\r\n\r\n" + body
+	}
+	for _, exchange := range []struct{ name, request string }{
+		{"poll-snapshot.http", post(`{"region":"west","subscriber":"s1","services":["mail"],"version":0,"wait_ms":0}`)},
+		{"poll-empty.http", post(`{"region":"west","subscriber":"s1","services_digest":` + jsonNumber(configuration.Subscription{"mail"}.Digest()) + `,"version":4294967298,"rejected":[{"service":"mail","version":4294967297,"reason":"no class"}],"wait_ms":0}`)},
+		{"poll-delta.http", post(`{"region":"west","subscriber":"s2","version":4294967297,"wait_ms":0}`)},
+		{"poll-unknown-services.http", post(`{"region":"west","subscriber":"s1","services_digest":5,"version":0,"wait_ms":0}`)},
+		{"poll-behind.http", post(`{"region":"west","subscriber":"s2","version":4294967299,"wait_ms":0}`)},
+		{"poll-region.http", post(`{"region":"east","subscriber":"s2","version":0,"wait_ms":0}`)},
+		{"status.http", "GET /v1/configuration/status?service=mail HTTP/1.1\r\nHost: relay\r\n\r\n"},
+		{"info.http", "GET /v1/relay HTTP/1.1\r\nHost: relay\r\n\r\n"},
+		{"poll-method.http", "GET /v1/configuration HTTP/1.1\r\nHost: relay\r\n\r\n"},
+		{"path.http", "GET /v1/other HTTP/1.1\r\nHost: relay\r\n\r\n"},
+	} {
+		await(t, "the end of the connection before", func() bool { return r.listener.open.Load() == 0 }) // they are counted in the state
+		compareRecorded(t, exchange.name, answerTo(t, r.Address(), exchange.request))
+	}
+	if !bytes.Contains(answerTo(t, r.Address(), post(`{`)), []byte("HTTP/1.1 400 Bad Request")) {
+		t.Error("a poll that is no JSON: found another status, wanted 400")
+	}
+}
+
+func jsonNumber(value any) string {
+	text, err := json.Marshal(value)
+	if err != nil {
+		panic(err)
+	}
+	return string(text)
+}
+
+// A relay asks a member for the configuration in the form that members of other
+// versions read, and reads what they answer.
+func TestRecordedCallsToTheCouncil(t *testing.T) {
+	t.Parallel()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	answer, err := os.ReadFile("testdata/council-answer.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	requests := make(chan []byte, 2)
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		t.Cleanup(func() { conn.Close() })
+		for range cap(requests) {
+			var got bytes.Buffer
+			request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(conn, &got)))
+			if err != nil {
+				return
+			}
+			if _, err := io.Copy(io.Discard, request.Body); err != nil {
+				return
+			}
+			requests <- bytes.Clone(got.Bytes())
+			head := "HTTP/1.1 200 OK\r\nContent-Length: " + jsonNumber(len(answer)) + "\r\n\r\n"
+			if _, err := io.WriteString(conn, head+string(answer)); err != nil {
+				return
+			}
+		}
+	}()
+	r := start(t, testFile(listener.Addr().String()))
+	for _, name := range []string{"follow-first.http", "follow-next.http"} {
+		select {
+		case request := <-requests:
+			compareRecorded(t, name, request)
+		case <-time.After(patience):
+			t.Fatal("the relay made no call")
+		}
+	}
+	r.holds(configuration.NewVersion(1, 2))
+	got := poll(t, r.Address(), configuration.Poll{})
+	if got.Update == nil || len(got.Update.Resources) != 2 || !strings.Contains(string(got.Update.Resources[0].Settings), "quota-per-s") {
+		t.Errorf("found %+v, wanted the resources of the recorded answer", got)
+	}
+}
--- /dev/null
+++ b/internal/subscription/format_test.go
@@ -0,0 +1,100 @@
+package subscription
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"net/http"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/keytest"
+)
+
+var record = flag.Bool("record", false, "write the polls in testdata anew instead of comparing them")
+
+// The keys of a poll are fixed: relays of other versions read them.
+func TestKeysOfPoll(t *testing.T) {
+	t.Parallel()
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{{Role: "members of a poll that stay the same", Encoding: "json", Value: constantMembers{}}})
+}
+
+// Polls go out byte for byte as an earlier version sent them.
+func TestRecordedPolls(t *testing.T) {
+	t.Parallel()
+	services := configuration.Subscription{"mail", "orders"}
+	rejected := []configuration.Rejection{
+		{Service: "mail", Version: configuration.NewVersion(3, 8), Reason: `found "x" <two>`},
+		{Service: "orders", Version: configuration.NewVersion(3, 9), Reason: ""},
+	}
+	for _, poll := range []struct {
+		name     string
+		services configuration.Subscription
+		digest   bool
+		version  configuration.Version
+		rejected []configuration.Rejection
+		wait     time.Duration
+	}{
+		{"poll-first.http", services, false, 0, nil, 0},
+		{"poll-rejected.http", services, false, configuration.NewVersion(3, 9), rejected, 1500 * time.Millisecond},
+		{"poll-digest.http", services, true, configuration.NewVersion(3, 9), nil, 1500 * time.Millisecond},
+		{"poll-all-services.http", nil, false, 1, nil, 0},
+		{"poll-no-services.http", configuration.Subscription{}, false, 1, nil, 0},
+	} {
+		encoder := newPollEncoder(Settings{Region: "west", Subscriber: "w1-sidecar-7", Services: poll.services})
+		got := encoder.encode("127.0.0.1:7000", poll.digest, poll.version, poll.rejected, poll.wait)
+		path := filepath.Join("testdata", poll.name)
+		if *record {
+			if err := os.WriteFile(path, got, 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(got, want) {
+			t.Errorf("%s: found\n%s\nwanted\n%s", poll.name, got, want)
+		}
+	}
+}
+
+// An answer that a relay of an earlier version wrote reaches whoever applies it.
+func TestRecordedAnswerIsApplied(t *testing.T) {
+	text, err := os.ReadFile("testdata/answer.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+		if poll.Version != 0 {
+			update(w, poll, poll.Version)
+			return
+		}
+		if _, err := w.Write(text); err != nil {
+			t.Error(err)
+		}
+	})
+	applied := make(chan configuration.Taken, 1)
+	c := newClient(Settings{Region: region, Subscriber: "n1", Relays: []string{near.address()}}, times(1),
+		func(taken configuration.Taken, version configuration.Version) []configuration.Rejection {
+			if version != configuration.NewVersion(3, 9) {
+				t.Errorf("found version %v, wanted 3.9", version)
+			}
+			applied <- taken
+			return nil
+		})
+	go c.Run(t.Context())
+	select {
+	case taken := <-applied:
+		got, err := json.Marshal(taken.Changed)
+		want := `[{"service":"mail","version":12884901896,"settings":{"tenants":[{"name":"acme","quota-per-s":120.5}]}}]`
+		if err != nil || string(got) != want {
+			t.Errorf("found %s, %v, wanted %s", got, err, want)
+		}
+	case <-time.After(hang):
+		t.Fatal("nothing was applied")
+	}
+}
