--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -193,7 +193,7 @@
 	if id == "" {
 		change.ID = fmt.Sprintf("%016x", rand.Uint64())
 	}
-	if err := configuration.CheckName("id", change.ID); err != nil {
+	if err := configuration.ValidateName("id", change.ID); err != nil {
 		return nil, fmt.Errorf("%w: -id: %w", errUsage, err)
 	}
 	file, err := servicefile.Load(path)
--- a/cmd/otterspring/config_status.go
+++ b/cmd/otterspring/config_status.go
@@ -36,7 +36,7 @@
 	Subscribers int    `json:"subscribers"`
 	Error       string `json:"error,omitempty"` // why there is no answer; empty for one
 
-	answer *configuration.StatusAnswer
+	answer *configuration.StatusResponse
 }
 
 // subscriberState is how a subscriber stands to a service.
@@ -148,7 +148,7 @@
 	return status
 }
 
-func fetchStatus(ctx context.Context, address, service string) (*configuration.StatusAnswer, error) {
+func fetchStatus(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	query := url.Values{configuration.StatusParameter: {service}}
@@ -162,14 +162,14 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, configuration.MaxStatusBytes+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, configuration.MaxStatusResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > configuration.MaxStatusBytes {
-		return nil, fmt.Errorf("found an answer of more than %d bytes", configuration.MaxStatusBytes)
+	if len(text) > configuration.MaxStatusResponseBytes {
+		return nil, fmt.Errorf("found an answer of more than %d bytes", configuration.MaxStatusResponseBytes)
 	}
-	answer := &configuration.StatusAnswer{}
+	answer := &configuration.StatusResponse{}
 	if err := json.Unmarshal(text, answer); response.StatusCode != http.StatusOK || err != nil {
 		return nil, fmt.Errorf("found status %d and %q, wanted an answer in JSON", response.StatusCode, text[:min(len(text), maxRefusalExcerpt)])
 	}
@@ -186,12 +186,12 @@
 		}
 	}
 	for _, subscriber := range configuration.MergeStatus(said...) {
-		line := subscriberLine{Subscriber: subscriber.Subscriber, State: stateInForce, Version: subscriber.Version.String(), SilentMS: subscriber.SilentMS}
+		line := subscriberLine{Subscriber: subscriber.Subscriber, State: stateInForce, Version: subscriber.Version.String(), SilentMS: subscriber.SinceLastPollMS}
 		switch {
 		case subscriber.Version < resource.Version:
 			line.State = stateBehind
 			result.Behind++
-		case subscriber.Rejected >= resource.Version:
+		case subscriber.RejectedVersion >= resource.Version:
 			line.State, line.Reason = stateRejected, subscriber.Reason
 			result.Rejected++
 		default:
--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -483,8 +483,8 @@
 		r.t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var answer configuration.PollAnswer
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Refusal != "" {
+	var answer configuration.PollResponse
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.ErrorCode != "" {
 		r.t.Fatalf("%s: %+v, %v", p.Subscriber, answer, err)
 	}
 }
@@ -494,16 +494,16 @@
 func TestStatusOf(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
 	subscriber := func(name string, version configuration.Version, silent time.Duration) configuration.SubscriberStatus {
-		return configuration.SubscriberStatus{Subscriber: name, Version: version, SilentMS: silent.Milliseconds()}
+		return configuration.SubscriberStatus{Subscriber: name, Version: version, SinceLastPollMS: silent.Milliseconds()}
 	}
-	near := &configuration.StatusAnswer{Subscribers: []configuration.SubscriberStatus{
+	near := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
 		subscriber("moved", version, time.Second), subscriber("gone", version-1, 2*time.Minute),
 	}}
 	rejects := subscriber("rejects", version+1, 0)
-	rejects.Rejected, rejects.Reason = version, "two\nlines"
+	rejects.RejectedVersion, rejects.Reason = version, "two\nlines"
 	rejectedBefore := subscriber("rejected-before", version, 0)
-	rejectedBefore.Rejected = version - 1
-	far := &configuration.StatusAnswer{Subscribers: []configuration.SubscriberStatus{
+	rejectedBefore.RejectedVersion = version - 1
+	far := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
 		subscriber("moved", version-1, 3*time.Second), rejects, rejectedBefore,
 	}}
 	for i := range maxNamedOfAKind + 4 {
--- a/cmd/rig/scale.go
+++ b/cmd/rig/scale.go
@@ -54,7 +54,7 @@
 	f.IntVar(&o.options.Zones, "zones", 19, "zones, each with a relay")
 	f.IntVar(&o.options.CallsServices, "calls-services", 20, "services that each sidecar subscribes to")
 	f.IntVar(&o.options.SettingsBytes, "settings-bytes", 2048, "size of one service's settings")
-	f.IntVar(&o.options.SnapshotsAtOnce, "snapshots-at-once", configuration.DefaultAdmission.Places, "snapshots that each relay may have under way")
+	f.IntVar(&o.options.SnapshotsAtOnce, "snapshots-at-once", configuration.DefaultAdmissionSettings.Slots, "snapshots that each relay may have under way")
 	f.StringVar(&o.faults, "faults", "none", "none, or all: drawn by the seed")
 	f.BoolVar(&o.sweep, "sweep", false, "play several sizes and fit lines over them")
 	f.StringVar(&o.sizes, "sizes", sweepSizes, "sizes of a sweep, rising, with commas between them")
@@ -135,7 +135,7 @@
 	}
 }
 
-// check holds the options against their bounds and the machine's, before anything
+// validate holds the options against their bounds and the machine's, before anything
 // is begun.
 func (o *scaleFlags) check(sizes []int) error {
 	limits, err := scale.MachineLimits()
--- a/internal/daemon/configuration_test.go
+++ b/internal/daemon/configuration_test.go
@@ -38,7 +38,7 @@
 
 func (r *relay) serve(w http.ResponseWriter, request *http.Request) {
 	var poll configuration.Poll
-	if err := json.NewDecoder(request.Body).Decode(&poll); err != nil || poll.Check() != nil || poll.Subscriber == "" {
+	if err := json.NewDecoder(request.Body).Decode(&poll); err != nil || poll.Validate() != nil || poll.Subscriber == "" {
 		http.Error(w, "bad poll", http.StatusBadRequest)
 		return
 	}
@@ -51,7 +51,7 @@
 	} else {
 		time.Sleep(time.Duration(poll.WaitMS) * time.Millisecond)
 	}
-	json.NewEncoder(w).Encode(configuration.PollAnswer{Region: "north", Update: &update})
+	json.NewEncoder(w).Encode(configuration.PollResponse{Region: "north", Update: &update})
 }
 
 func (r *relay) asked() int {
--- a/internal/fleet/configuration/admission_test.go
+++ b/internal/fleet/configuration/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAdmissionBoundsSnapshotsUnderWay(t *testing.T) {
-	settings := AdmissionSettings{Places: 2, Lease: time.Second, RetryLeast: 100 * time.Millisecond, RetryMost: 400 * time.Millisecond}
+	settings := AdmissionSettings{Slots: 2, SlotTimeout: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: 400 * time.Millisecond}
 	a := NewAdmission(settings)
 	steps := []struct {
 		at         time.Duration
@@ -30,38 +30,38 @@
 	}
 	for _, step := range steps {
 		admitted, retry := a.Admit(step.at, step.subscriber, false, 0.5)
-		if admitted != step.admitted || admitted != (retry == 0) || a.UnderWay(step.at) != step.underWay {
-			t.Errorf("%s at %v: found %v, %v, %d under way; wanted %v, %d", step.subscriber, step.at, admitted, retry, a.UnderWay(step.at), step.admitted, step.underWay)
+		if admitted != step.admitted || admitted != (retry == 0) || a.InFlight(step.at) != step.underWay {
+			t.Errorf("%s at %v: found %v, %v, %d under way; wanted %v, %d", step.subscriber, step.at, admitted, retry, a.InFlight(step.at), step.admitted, step.underWay)
 		}
 	}
-	a.Done("d")
-	a.Done("nobody")
+	a.Release("d")
+	a.Release("nobody")
 	if admitted, _ := a.Admit(1750*time.Millisecond, "e", true, 0.5); !admitted || a.Peak() != 2 {
 		t.Errorf("found %v with a peak of %d, wanted a place freed by Done, and 2", admitted, a.Peak())
 	}
-	if under := a.UnderWay(time.Hour); under != 0 {
+	if under := a.InFlight(time.Hour); under != 0 {
 		t.Errorf("found %d under way after an hour, wanted 0", under)
 	}
 }
 
 func TestAdmissionPlacesHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := AdmissionSettings{Places: rapid.IntRange(1, 4).Draw(t, "places"), Lease: time.Second, RetryLeast: 50 * time.Millisecond, RetryMost: 2 * time.Second}
+		settings := AdmissionSettings{Slots: rapid.IntRange(1, 4).Draw(t, "places"), SlotTimeout: time.Second, RetryMin: 50 * time.Millisecond, RetryMax: 2 * time.Second}
 		a, now := NewAdmission(settings), time.Duration(0)
 		underWay := map[string]time.Duration{} // until when, by a count of the test's own
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			subscriber := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "subscriber"))
 			if rapid.Bool().Draw(t, "done") {
-				a.Done(subscriber)
+				a.Release(subscriber)
 				delete(underWay, subscriber)
 				continue
 			}
 			admitted, retry := a.Admit(now, subscriber, rapid.Bool().Draw(t, "again"), rapid.Float64Range(0, 0.999).Draw(t, "draw"))
 			if admitted {
-				underWay[subscriber] = now + settings.Lease
-			} else if retry < settings.RetryLeast/2 || retry > settings.RetryMost*3/2 {
-				t.Fatalf("found a retry after %v, wanted %v to %v", retry, settings.RetryLeast/2, settings.RetryMost*3/2)
+				underWay[subscriber] = now + settings.SlotTimeout
+			} else if retry < settings.RetryMin/2 || retry > settings.RetryMax*3/2 {
+				t.Fatalf("found a retry after %v, wanted %v to %v", retry, settings.RetryMin/2, settings.RetryMax*3/2)
 			}
 			count := 0
 			for _, until := range underWay {
@@ -69,11 +69,11 @@
 					count++
 				}
 			}
-			if count > settings.Places || a.UnderWay(now) != count || a.Peak() > settings.Places {
-				t.Fatalf("found %d under way and a peak of %d, wanted %d, and %d places at most", a.UnderWay(now), a.Peak(), count, settings.Places)
+			if count > settings.Slots || a.InFlight(now) != count || a.Peak() > settings.Slots {
+				t.Fatalf("found %d under way and a peak of %d, wanted %d, and %d places at most", a.InFlight(now), a.Peak(), count, settings.Slots)
 			}
-			if !admitted && count < settings.Places {
-				t.Fatalf("found a refusal with %d of %d places taken", count, settings.Places)
+			if !admitted && count < settings.Slots {
+				t.Fatalf("found a refusal with %d of %d places taken", count, settings.Slots)
 			}
 		}
 	})
@@ -92,48 +92,48 @@
 // another relay, are not waited for: one place that is always taken must not keep
 // the estimate up.
 func TestWaitingEstimateForgetsWhoNeverComes(t *testing.T) {
-	settings := AdmissionSettings{Places: 1, Lease: time.Second, RetryLeast: 50 * time.Millisecond, RetryMost: 2 * time.Second}
+	settings := AdmissionSettings{Slots: 1, SlotTimeout: time.Second, RetryMin: 50 * time.Millisecond, RetryMax: 2 * time.Second}
 	a, now := NewAdmission(settings), time.Duration(0)
 	a.Admit(now, "holder", false, 0)
-	if long := refuse(a, now, 1000); long != settings.RetryMost {
-		t.Fatalf("found a retry after %v behind 1000, wanted %v", long, settings.RetryMost)
+	if long := refuse(a, now, 1000); long != settings.RetryMax {
+		t.Fatalf("found a retry after %v behind 1000, wanted %v", long, settings.RetryMax)
 	}
 	for now < 10*time.Second {
 		now += 500 * time.Millisecond
 		a.Admit(now, "holder", false, 0) // its lease goes on
 	}
-	if short := refuse(a, now, 1); short > 2*settings.RetryLeast {
-		t.Errorf("found a retry after %v with one that waits, wanted %v at most", short, 2*settings.RetryLeast)
+	if short := refuse(a, now, 1); short > 2*settings.RetryMin {
+		t.Errorf("found a retry after %v with one that waits, wanted %v at most", short, 2*settings.RetryMin)
 	}
 }
 
 // After a long quiet time nobody is waited for.
 func TestWaitingEstimateEndsInQuiet(t *testing.T) {
-	settings := AdmissionSettings{Places: 1, Lease: 2 * time.Hour, RetryLeast: 50 * time.Millisecond, RetryMost: 2 * time.Second}
+	settings := AdmissionSettings{Slots: 1, SlotTimeout: 2 * time.Hour, RetryMin: 50 * time.Millisecond, RetryMax: 2 * time.Second}
 	a := NewAdmission(settings)
 	a.Admit(0, "holder", false, 0)
 	refuse(a, 0, 1000)
-	if short := refuse(a, time.Hour, 1); short > 2*settings.RetryLeast {
-		t.Errorf("found a retry after %v with one that waits, wanted %v at most", short, 2*settings.RetryLeast)
+	if short := refuse(a, time.Hour, 1); short > 2*settings.RetryMin {
+		t.Errorf("found a retry after %v with one that waits, wanted %v at most", short, 2*settings.RetryMin)
 	}
 }
 
 // One that comes again and again is one that waits.
 func TestWaitingEstimateCountsOneOnce(t *testing.T) {
-	settings := AdmissionSettings{Places: 1, Lease: time.Hour, RetryLeast: 50 * time.Millisecond, RetryMost: 2 * time.Second}
+	settings := AdmissionSettings{Slots: 1, SlotTimeout: time.Hour, RetryMin: 50 * time.Millisecond, RetryMax: 2 * time.Second}
 	a := NewAdmission(settings)
 	a.Admit(0, "holder", false, 0)
 	for i := range 200 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		if _, retry := a.Admit(now, "patient", i > 0, 0.5); retry > 2*settings.RetryLeast {
-			t.Fatalf("visit %d: found a retry after %v, wanted %v at most", i, retry, 2*settings.RetryLeast)
+		if _, retry := a.Admit(now, "patient", i > 0, 0.5); retry > 2*settings.RetryMin {
+			t.Fatalf("visit %d: found a retry after %v, wanted %v at most", i, retry, 2*settings.RetryMin)
 		}
 	}
 }
 
 // Half of a retry's mean is drawn, to both sides.
 func TestRetriesAreSpread(t *testing.T) {
-	settings := AdmissionSettings{Places: 1, Lease: time.Hour, RetryLeast: 100 * time.Millisecond, RetryMost: 100 * time.Millisecond}
+	settings := AdmissionSettings{Slots: 1, SlotTimeout: time.Hour, RetryMin: 100 * time.Millisecond, RetryMax: 100 * time.Millisecond}
 	a := NewAdmission(settings)
 	a.Admit(0, "holder", false, 0)
 	_, early := a.Admit(0, "a", false, 0)
@@ -145,13 +145,13 @@
 
 // The same while a few are refused all the time.
 func TestWaitingEstimateDoesNotDrift(t *testing.T) {
-	settings := AdmissionSettings{Places: 1, Lease: time.Second, RetryLeast: 10 * time.Millisecond, RetryMost: 2 * time.Second}
+	settings := AdmissionSettings{Slots: 1, SlotTimeout: time.Second, RetryMin: 10 * time.Millisecond, RetryMax: 2 * time.Second}
 	a, last := NewAdmission(settings), time.Duration(0)
 	for now := time.Duration(0); now < 10*time.Minute; now += 500 * time.Millisecond {
 		a.Admit(now, "holder", false, 0)
 		last = refuse(a, now, 1) // comes never again
 	}
-	if most := 14 * settings.RetryLeast; last > most {
+	if most := 14 * settings.RetryMin; last > most {
 		t.Errorf("found a retry after %v with 12 refused in 6 s, wanted %v at most", last, most)
 	}
 }
@@ -161,7 +161,7 @@
 func TestZoneThatBeginsAtOnce(t *testing.T) {
 	const zone, apply = 684, 50 * time.Millisecond
 	rng := rand.New(rand.NewPCG(1, 0))
-	a := NewAdmission(DefaultAdmission)
+	a := NewAdmission(DefaultAdmissionSettings)
 	type visit struct {
 		at    time.Duration
 		who   int
@@ -178,7 +178,7 @@
 		queue = queue[1:]
 		name := fmt.Sprint(next.who)
 		if next.who < 0 { // an acknowledgement
-			a.Done(fmt.Sprint(-next.who - 1))
+			a.Release(fmt.Sprint(-next.who - 1))
 			continue
 		}
 		visits++
@@ -190,8 +190,8 @@
 		served, last = served+1, next.at
 		queue = append(queue, visit{next.at + apply, -next.who - 1, false})
 	}
-	if served != zone || last > 3*time.Second || a.Peak() > DefaultAdmission.Places || visits > 4*zone {
-		t.Errorf("found %d served within %v by %d visits and a peak of %d; wanted %d within 3 s, %d visits and %d at most", served, last, visits, a.Peak(), zone, 4*zone, DefaultAdmission.Places)
+	if served != zone || last > 3*time.Second || a.Peak() > DefaultAdmissionSettings.Slots || visits > 4*zone {
+		t.Errorf("found %d served within %v by %d visits and a peak of %d; wanted %d within 3 s, %d visits and %d at most", served, last, visits, a.Peak(), zone, 4*zone, DefaultAdmissionSettings.Slots)
 	}
 	t.Logf("%d served within %v by %d visits", served, last, visits)
 }
--- a/internal/fleet/configuration/benchmark_test.go
+++ b/internal/fleet/configuration/benchmark_test.go
@@ -28,7 +28,7 @@
 
 func benchmarkCache(b *testing.B) *Cache {
 	cache := &Cache{}
-	if _, err := cache.Take(benchmarkStore(b).Since(0)); err != nil {
+	if _, err := cache.Apply(benchmarkStore(b).UpdateSince(0)); err != nil {
 		b.Fatal(err)
 	}
 	return cache
@@ -54,7 +54,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if update := cache.Since(c.version, c.subscription); len(update.Resources) != c.resources {
+				if update := cache.UpdateSince(c.version, c.subscription); len(update.Resources) != c.resources {
 					b.Fatalf("found %d resources, wanted %d", len(update.Resources), c.resources)
 				}
 			}
@@ -68,7 +68,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				store.Since(version)
+				store.UpdateSince(version)
 			}
 		})
 	}
@@ -86,14 +86,14 @@
 
 func BenchmarkSubscriberAnswered(b *testing.B) {
 	s, now := decider(2, 1), time.Duration(0)
-	answer := &PollAnswer{Update: &Update{From: v(1, 1), Version: v(1, 1)}}
-	if _, err := s.Answered(now, fresh(v(1, 1))); err != nil {
+	answer := &PollResponse{Update: &Update{From: v(1, 1), Version: v(1, 1)}}
+	if _, err := s.HandleResponse(now, fresh(v(1, 1))); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		now = s.Next(now).At + time.Second
-		if _, err := s.Answered(now, answer); err != nil {
+		now = s.NextPoll(now).Due + time.Second
+		if _, err := s.HandleResponse(now, answer); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/fleet/configuration/cache.go
+++ b/internal/fleet/configuration/cache.go
@@ -9,13 +9,13 @@
 // ErrGap is an update that begins behind what is held: a snapshot is wanted.
 var ErrGap = errors.New("update: found a delta that begins after what is held, wanted a snapshot")
 
-// OlderError is an update that would bring a receiver back: its sender is late.
-type OlderError struct {
-	Found, Wanted Version // of the update, and the least that is taken
+// StaleUpdateError is an update that would bring a receiver back: its sender is late.
+type StaleUpdateError struct {
+	Version, Current Version // of the update, and the least that is taken
 }
 
-func (e *OlderError) Error() string {
-	return fmt.Sprintf("update: found version %v, wanted %v or newer: a late sender", e.Found, e.Wanted)
+func (e *StaleUpdateError) Error() string {
+	return fmt.Sprintf("update: found version %v, wanted %v or newer: a late sender", e.Version, e.Current)
 }
 
 // Cache holds the newest resources that a relay or a sidecar has received. Its
@@ -37,19 +37,19 @@
 // Len is how many resources are held.
 func (c *Cache) Len() int { return len(c.resources) }
 
-// Taken is what an update came to.
-type Taken struct {
-	Changed []Resource // newer than what was held
+// Changes is what an update came to.
+type Changes struct {
+	Updated []Resource // newer than what was held
 	Removed []string   // services that a snapshot does not name any more
 }
 
-// Take takes an update where it is not older than what is held.
-func (c *Cache) Take(u Update) (Taken, error) {
-	var taken Taken
+// Apply takes an update where it is not older than what is held.
+func (c *Cache) Apply(u Update) (Changes, error) {
+	var taken Changes
 	if u.Version < c.version {
-		return taken, &OlderError{Found: u.Version, Wanted: c.version}
+		return taken, &StaleUpdateError{Version: u.Version, Current: c.version}
 	}
-	if err := u.check(); err != nil {
+	if err := u.validate(); err != nil {
 		return taken, err
 	}
 	if u.From > c.version {
@@ -66,9 +66,9 @@
 			continue
 		}
 		c.resources[resource.Service] = resource
-		taken.Changed = append(taken.Changed, resource)
+		taken.Updated = append(taken.Updated, resource)
 	}
-	if u.Snapshot() {
+	if u.IsSnapshot() {
 		for service := range c.resources {
 			if !named[service] {
 				delete(c.resources, service)
@@ -81,15 +81,15 @@
 	return taken, nil
 }
 
-// check tells what is wrong with an update that was received: one that is not of a
+// validate tells what is wrong with an update that was received: one that is not of a
 // single history would be mixed with what is held.
-func (u *Update) check() error {
-	if u.From > u.Version || u.From != 0 && u.From.Space() != u.Version.Space() {
+func (u *Update) validate() error {
+	if u.From > u.Version || u.From != 0 && u.From.TokenSpace() != u.Version.TokenSpace() {
 		return fmt.Errorf("update: found a delta from version %v to %v, wanted one that goes on within its epoch space", u.From, u.Version)
 	}
 	for i := range u.Resources {
 		resource := &u.Resources[i]
-		if err := CheckName("service", resource.Service); err != nil {
+		if err := ValidateName("service", resource.Service); err != nil {
 			return fmt.Errorf("update: resources[%d].%w", i, err)
 		}
 		if resource.Version == 0 || resource.Version > u.Version {
@@ -99,16 +99,16 @@
 	return nil
 }
 
-// Since returns what a subscriber lacks that holds a version of its subscription. It
+// UpdateSince returns what a subscriber lacks that holds a version of its subscription. It
 // is a snapshot where the subscriber holds nothing, or a version of another epoch
 // space. Its resources are in the order of their versions. It must not be called for a
 // version that is newer than the cache's.
-func (c *Cache) Since(version Version, subscription Subscription) Update {
+func (c *Cache) UpdateSince(version Version, subscription Subscription) Update {
 	update := Update{From: version, Version: c.version}
 	if version == c.version {
 		return update // nothing is newer
 	}
-	if version.Space() != c.version.Space() {
+	if version.TokenSpace() != c.version.TokenSpace() {
 		update.From = 0
 	}
 	add := func(resource Resource) {
@@ -126,6 +126,6 @@
 			add(resource)
 		}
 	}
-	slices.SortFunc(update.Resources, olderFirst)
+	slices.SortFunc(update.Resources, byVersion)
 	return update
 }
--- a/internal/fleet/configuration/cache_test.go
+++ b/internal/fleet/configuration/cache_test.go
@@ -25,7 +25,7 @@
 func cacheOf(t *testing.T) *Cache {
 	t.Helper()
 	cache := &Cache{}
-	_, err := cache.Take(Update{Version: v(1, 3), Resources: []Resource{resource("a", v(1, 1)), resource("b", v(1, 2)), resource("c", v(1, 3))}})
+	_, err := cache.Apply(Update{Version: v(1, 3), Resources: []Resource{resource("a", v(1, 1)), resource("b", v(1, 2)), resource("c", v(1, 3))}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,12 +53,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cache := cacheOf(t)
-			taken, err := cache.Take(c.update)
+			taken, err := cache.Apply(c.update)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Equal(names(taken.Changed), c.changed) || !slices.Equal(taken.Removed, c.removed) || cache.Version() != c.version {
-				t.Errorf("found %v changed, %v removed, version %v; wanted %v, %v, %v", names(taken.Changed), taken.Removed, cache.Version(), c.changed, c.removed, c.version)
+			if !slices.Equal(names(taken.Updated), c.changed) || !slices.Equal(taken.Removed, c.removed) || cache.Version() != c.version {
+				t.Errorf("found %v changed, %v removed, version %v; wanted %v, %v, %v", names(taken.Updated), taken.Removed, cache.Version(), c.changed, c.removed, c.version)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 
 // An update that can't be taken leaves all as it was.
 func TestCacheTakeRefuses(t *testing.T) {
-	var older *OlderError
+	var older *StaleUpdateError
 	isOlder := func(err error) bool { return errors.As(err, &older) }
 	isGap := func(err error) bool { return errors.Is(err, ErrGap) }
 	isAny := func(err error) bool { return !isOlder(err) && !isGap(err) }
@@ -89,12 +89,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cache, same := cacheOf(t), cacheOf(t)
-			taken, err := cache.Take(c.update)
+			taken, err := cache.Apply(c.update)
 			oneLine(t, err, "update:", "found", "wanted")
 			if !c.kind(err) {
 				t.Errorf("found the error %T %v, wanted another kind", err, err)
 			}
-			if len(taken.Changed)+len(taken.Removed) != 0 || cache.Version() != same.Version() || !sameResources(cache.resources, same.resources) {
+			if len(taken.Updated)+len(taken.Removed) != 0 || cache.Version() != same.Version() || !sameResources(cache.resources, same.resources) {
 				t.Errorf("found %+v taken and %+v held, wanted all as it was", taken, cache)
 			}
 		})
@@ -133,7 +133,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := cacheOf(t).Since(c.version, c.subscription)
+			got := cacheOf(t).UpdateSince(c.version, c.subscription)
 			if got.From != c.from || got.Version != v(1, 3) || !slices.Equal(names(got.Resources), c.services) {
 				t.Errorf("found %v to %v with %v, wanted %v to 1.3 with %v", got.From, got.Version, names(got.Resources), c.from, c.services)
 			}
@@ -143,16 +143,16 @@
 
 func TestZeroCache(t *testing.T) {
 	var cache Cache
-	if update := cache.Since(0, nil); !update.Snapshot() || update.Version != 0 || len(update.Resources) != 0 {
+	if update := cache.UpdateSince(0, nil); !update.IsSnapshot() || update.Version != 0 || len(update.Resources) != 0 {
 		t.Errorf("found %+v, wanted an empty snapshot", update)
 	}
-	if _, err := cache.Take(Update{From: 1, Version: 2}); !errors.Is(err, ErrGap) {
+	if _, err := cache.Apply(Update{From: 1, Version: 2}); !errors.Is(err, ErrGap) {
 		t.Errorf("found %v, wanted %v", err, ErrGap)
 	}
 	if _, found := cache.Resource("a"); found || cache.Len() != 0 {
 		t.Error("found a resource in the zero cache")
 	}
-	if taken, err := cache.Take(Update{}); err != nil || len(taken.Changed) != 0 {
+	if taken, err := cache.Apply(Update{}); err != nil || len(taken.Updated) != 0 {
 		t.Errorf("found %v, %v of an empty region", taken, err)
 	}
 }
--- a/internal/fleet/configuration/capacity_test.go
+++ b/internal/fleet/configuration/capacity_test.go
@@ -39,7 +39,7 @@
 			b.Fatal(err)
 		}
 	}
-	for i := range maxRemembered {
+	for i := range maxRecentChanges {
 		if _, err := store.Apply(1, Change{ID: fmt.Sprintf("op-2026-12-02-%06d", i), Service: service(i % services), Settings: settings}); err != nil {
 			b.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 			settings := capacitySettings(2048)
 			cost.Loop(b, func(i int) {
 				change := Change{ID: fmt.Sprintf("op-2026-12-03-%06d", i), Service: service(i % services), Settings: settings}
-				if err := change.Check(); err != nil {
+				if err := change.Validate(); err != nil {
 					b.Fatal(err)
 				}
 				if _, err := store.Apply(1, change); err != nil {
@@ -91,7 +91,7 @@
 func capacityRelay(b *testing.B, services, subscribed, settingsBytes int) (*Cache, Subscription) {
 	b.Helper()
 	var cache Cache
-	if _, err := cache.Take(capacityStore(b, services, settingsBytes).Since(0)); err != nil {
+	if _, err := cache.Apply(capacityStore(b, services, settingsBytes).UpdateSince(0)); err != nil {
 		b.Fatal(err)
 	}
 	subscription := make(Subscription, subscribed)
@@ -109,18 +109,18 @@
 			cache, subscription := capacityRelay(b, 360, subscribed, 2048)
 			bytes := 0
 			cost.Loop(b, func(int) {
-				update := cache.Since(0, subscription)
-				text, err := json.Marshal(PollAnswer{Region: "eu", Update: &update})
+				update := cache.UpdateSince(0, subscription)
+				text, err := json.Marshal(PollResponse{Region: "eu", Update: &update})
 				if err != nil {
 					b.Fatal(err)
 				}
 				bytes = len(text)
-				var answer PollAnswer
+				var answer PollResponse
 				if err := json.Unmarshal(text, &answer); err != nil {
 					b.Fatal(err)
 				}
 				var own Cache
-				if _, err := own.Take(*answer.Update); err != nil {
+				if _, err := own.Apply(*answer.Update); err != nil {
 					b.Fatal(err)
 				}
 			})
@@ -136,7 +136,7 @@
 		b.Run(fmt.Sprintf("settings=%d", settings), func(b *testing.B) {
 			store := capacityStore(b, 360, settings)
 			var cache Cache
-			if _, err := cache.Take(store.Since(0)); err != nil {
+			if _, err := cache.Apply(store.UpdateSince(0)); err != nil {
 				b.Fatal(err)
 			}
 			before := store.Resources[service(0)].Version
@@ -146,13 +146,13 @@
 			before-- // the last change is what is lacked
 			bytes := 0
 			cost.Loop(b, func(int) {
-				update := cache.Since(before, nil)
-				text, err := json.Marshal(PollAnswer{Region: "eu", Update: &update})
+				update := cache.UpdateSince(before, nil)
+				text, err := json.Marshal(PollResponse{Region: "eu", Update: &update})
 				if err != nil {
 					b.Fatal(err)
 				}
 				bytes = len(text)
-				var answer PollAnswer
+				var answer PollResponse
 				if err := json.Unmarshal(text, &answer); err != nil {
 					b.Fatal(err)
 				}
@@ -173,7 +173,7 @@
 			cost.Held(b, subscribers, "B/subscriber", func() any {
 				registry := NewRegistry()
 				for i := range subscribers {
-					registry.Heard(0, capacityPoll(i))
+					registry.Record(0, capacityPoll(i))
 				}
 				return registry
 			})
@@ -199,7 +199,7 @@
 				polls[i] = capacityPoll(i)
 			}
 			cost.Loop(b, func(i int) {
-				if !registry.Heard(time.Duration(i), polls[i%subscribers]) {
+				if !registry.Record(time.Duration(i), polls[i%subscribers]) {
 					b.Fatal("no room")
 				}
 			})
@@ -210,7 +210,7 @@
 // BenchmarkAdmission is what one question for a snapshot costs while all places are
 // taken, as after a relay's death.
 func BenchmarkAdmission(b *testing.B) {
-	admission := NewAdmission(DefaultAdmission)
+	admission := NewAdmission(DefaultAdmissionSettings)
 	rng := rand.New(rand.NewPCG(1, 2))
 	refused := 0
 	cost.Loop(b, func(i int) {
@@ -218,7 +218,7 @@
 			refused++
 		}
 	})
-	if refused == 0 && b.N > DefaultAdmission.Places {
+	if refused == 0 && b.N > DefaultAdmissionSettings.Slots {
 		b.Fatal("all were admitted")
 	}
 }
--- a/internal/fleet/configuration/format_test.go
+++ b/internal/fleet/configuration/format_test.go
@@ -17,8 +17,8 @@
 	t.Parallel()
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
 		{Role: "poll of a subscriber", Encoding: "json", Value: Poll{}},
-		{Role: "answer to a poll", Encoding: "json", Value: PollAnswer{}},
-		{Role: "status of a relay's subscribers", Encoding: "json", Value: StatusAnswer{}},
+		{Role: "answer to a poll", Encoding: "json", Value: PollResponse{}},
+		{Role: "status of a relay's subscribers", Encoding: "json", Value: StatusResponse{}},
 		{Role: "change of a service's settings", Encoding: "json", Value: Change{}},
 		{Role: "configuration in a council's state", Encoding: "json", Value: Store{}},
 		{Role: "settings of a service", Encoding: "json", Value: Settings{}},
@@ -32,11 +32,11 @@
 		"poll.json":            &Poll{},
 		"poll-digest.json":     &Poll{},
 		"poll-empty.json":      &Poll{},
-		"answer-snapshot.json": &PollAnswer{},
-		"answer-delta.json":    &PollAnswer{},
-		"answer-empty.json":    &PollAnswer{},
-		"answer-busy.json":     &PollAnswer{},
-		"status.json":          &StatusAnswer{},
+		"answer-snapshot.json": &PollResponse{},
+		"answer-delta.json":    &PollResponse{},
+		"answer-empty.json":    &PollResponse{},
+		"answer-busy.json":     &PollResponse{},
+		"status.json":          &StatusResponse{},
 		"change.json":          &Change{},
 		"change-forced.json":   &Change{},
 		"store.json":           &Store{},
@@ -83,12 +83,12 @@
 	if want := recordedPoll(); !reflect.DeepEqual(poll, want) {
 		t.Errorf("poll: found %+v, wanted %+v", poll, want)
 	}
-	var answer PollAnswer
+	var answer PollResponse
 	read("answer-snapshot.json", &answer)
 	if want := recordedAnswer(); !reflect.DeepEqual(answer, want) {
 		t.Errorf("answer: found %+v, wanted %+v", answer, want)
 	}
-	var status StatusAnswer
+	var status StatusResponse
 	read("status.json", &status)
 	if want := recordedStatus(); !reflect.DeepEqual(status, want) {
 		t.Errorf("status: found %+v, wanted %+v", status, want)
@@ -124,18 +124,18 @@
 	}
 }
 
-func recordedAnswer() PollAnswer {
+func recordedAnswer() PollResponse {
 	resources := []Resource{
 		{Service: "mail", Version: NewVersion(3, 8), Settings: json.RawMessage(recordedText)},
 		{Service: "orders", Version: NewVersion(3, 9), Settings: json.RawMessage(`{"tenants":[]}`)},
 	}
-	return PollAnswer{Region: "west", AgeMS: 31, Update: &Update{Version: NewVersion(3, 9), Resources: resources}}
+	return PollResponse{Region: "west", AgeMS: 31, Update: &Update{Version: NewVersion(3, 9), Resources: resources}}
 }
 
-func recordedStatus() StatusAnswer {
-	return StatusAnswer{Region: "west", Version: NewVersion(3, 9), AgeMS: 12, Subscribers: []SubscriberStatus{
-		{Subscriber: "w1-sidecar-6", Version: NewVersion(3, 9), SilentMS: 410},
-		{Subscriber: "w1-sidecar-7", Version: NewVersion(3, 9), Rejected: NewVersion(3, 8), Reason: "no such class", SilentMS: 1200},
+func recordedStatus() StatusResponse {
+	return StatusResponse{Region: "west", Version: NewVersion(3, 9), AgeMS: 12, Subscribers: []SubscriberStatus{
+		{Subscriber: "w1-sidecar-6", Version: NewVersion(3, 9), SinceLastPollMS: 410},
+		{Subscriber: "w1-sidecar-7", Version: NewVersion(3, 9), RejectedVersion: NewVersion(3, 8), Reason: "no such class", SinceLastPollMS: 1200},
 	}}
 }
 
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 	}
-	store.BeginSpace(3)
+	store.StartTokenSpace(3)
 	change := Change{ID: "c-3", Service: "mail", Settings: json.RawMessage(`{"tenants":[]}`)}
 	if _, err := store.Apply(3, change); err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 func recordedSettings() Settings {
 	return Settings{
 		Tenants: []Tenant{{Name: "acme", Quota: 120.5}},
-		Classes: []Class{{Name: "interactive", AimMicroseconds: new(int64(250000)), Worth: new(2.0), LateWorth: new(0.5)}},
+		Classes: []Class{{Name: "interactive", LatencyObjectiveMicroseconds: new(int64(250000)), PriorityWeight: new(2.0), LatePriorityWeight: new(0.5)}},
 	}
 }
 
@@ -178,14 +178,14 @@
 		StatusPath:      "/v1/configuration/status",
 		StatusParameter: "service",
 
-		string(RefusalNotReady):        "not_ready",
-		string(RefusalBehind):          "behind",
-		string(RefusalBusy):            "busy",
-		string(RefusalFull):            "full",
-		string(RefusalDraining):        "draining",
-		string(RefusalRegion):          "region",
-		string(RefusalInvalid):         "invalid",
-		string(RefusalUnknownServices): "unknown_services",
+		string(CodeNotReady):        "not_ready",
+		string(CodeBehind):          "behind",
+		string(CodeBusy):            "busy",
+		string(CodeFull):            "full",
+		string(CodeDraining):        "draining",
+		string(CodeWrongRegion):     "region",
+		string(CodeInvalid):         "invalid",
+		string(CodeUnknownServices): "unknown_services",
 	} {
 		if got != want {
 			t.Errorf("found %q, wanted %q", got, want)
--- a/internal/fleet/configuration/fuzz_test.go
+++ b/internal/fleet/configuration/fuzz_test.go
@@ -17,7 +17,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var answer, again PollAnswer
+		var answer, again PollResponse
 		if json.Unmarshal(text, &answer) != nil {
 			return
 		}
@@ -36,18 +36,18 @@
 }
 
 // takeAnswer holds a cache's invariants against any update.
-func takeAnswer(t *testing.T, answer *PollAnswer) {
+func takeAnswer(t *testing.T, answer *PollResponse) {
 	cache := Cache{}
 	held := Update{Version: NewVersion(1, 2), Resources: []Resource{{Service: "a", Version: NewVersion(1, 2)}}}
-	if _, err := cache.Take(held); err != nil {
+	if _, err := cache.Apply(held); err != nil {
 		t.Fatal(err)
 	}
 	if answer.Update == nil {
 		return
 	}
 	before := cache.Version()
-	_, err := cache.Take(*answer.Update)
-	var older *OlderError
+	_, err := cache.Apply(*answer.Update)
+	var older *StaleUpdateError
 	if cache.Version() < before || errors.As(err, &older) && cache.Version() != before {
 		t.Fatalf("found version %v after %v", cache.Version(), before)
 	}
@@ -76,7 +76,7 @@
 		if wait := poll.Wait(); wait < 0 || wait > MaxWait {
 			t.Fatalf("found wait %v", wait)
 		}
-		if err := poll.Check(); err != nil {
+		if err := poll.Validate(); err != nil {
 			if !isLine(err.Error()) {
 				t.Fatalf("found %q, wanted one line", err)
 			}
--- a/internal/fleet/configuration/message.go
+++ b/internal/fleet/configuration/message.go
@@ -14,15 +14,15 @@
 
 // Bounds of a region's configuration. What goes beyond is refused, not cut.
 const (
-	MaxServices      = 512         // resources of a region
-	MaxSettingsBytes = 8 << 10     // of one service's settings
-	MaxTotalBytes    = 3 << 20     // of all settings together
-	MaxNameBytes     = 64          // of a service, a subscriber or a change's id
-	MaxReasonBytes   = 256         // of a rejection's reason
-	MaxPollBytes     = 64 << 10    // of a subscriber's poll
-	MaxUpdateBytes   = 4 << 20     // of an answer to a poll
-	MaxRejections    = 32          // that are kept of a subscriber
-	MaxWait          = time.Minute // of a poll; a longer one is taken as this
+	MaxServices                = 512         // resources of a region
+	MaxSettingsBytes           = 8 << 10     // of one service's settings
+	MaxTotalSettingsBytes      = 3 << 20     // of all settings together
+	MaxNameBytes               = 64          // of a service, a subscriber or a change's id
+	MaxReasonBytes             = 256         // of a rejection's reason
+	MaxPollBytes               = 64 << 10    // of a subscriber's poll
+	MaxResponseBytes           = 4 << 20     // of an answer to a poll
+	MaxRejectionsPerSubscriber = 32          // that are kept of a subscriber
+	MaxWait                    = time.Minute // of a poll; a longer one is taken as this
 )
 
 // Resource is the settings of one service under the version of their last change.
@@ -32,8 +32,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// olderFirst orders resources by their versions.
-func olderFirst(a, b Resource) int { return cmp.Compare(a.Version, b.Version) }
+// byVersion orders resources by their versions.
+func byVersion(a, b Resource) int { return cmp.Compare(a.Version, b.Version) }
 
 // Update brings its receiver from one version to another: a snapshot of all that the
 // receiver subscribes to, where From is 0, or a delta, which names each subscribed
@@ -44,21 +44,21 @@
 	Resources []Resource `json:"resources,omitempty"`
 }
 
-// Snapshot tells whether an update names all that its receiver subscribes to.
-func (u *Update) Snapshot() bool { return u.From == 0 }
+// IsSnapshot tells whether an update names all that its receiver subscribes to.
+func (u *Update) IsSnapshot() bool { return u.From == 0 }
 
 // Subscription is the set of services that a subscriber wants to hear of. The nil
 // subscription stands for all services.
 type Subscription []string
 
-// Check tells what is wrong with a subscription that was received.
-func (s Subscription) Check() error {
+// Validate tells what is wrong with a subscription that was received.
+func (s Subscription) Validate() error {
 	if len(s) > MaxServices {
 		return fmt.Errorf("services: found %d, wanted %d at most", len(s), MaxServices)
 	}
 	named := make(map[string]bool, len(s))
 	for i, service := range s {
-		if err := CheckName("service", service); err != nil {
+		if err := ValidateName("service", service); err != nil {
 			return fmt.Errorf("services[%d]: %w", i, err)
 		}
 		if named[service] {
@@ -91,23 +91,23 @@
 	Reason  string  `json:"reason"`
 }
 
-// notInLine tells which characters a line of text can't have.
-func notInLine(r rune) bool { return !unicode.IsPrint(r) }
+// isUnprintable tells which characters a line of text can't have.
+func isUnprintable(r rune) bool { return !unicode.IsPrint(r) }
 
-// BoundRejections returns what is kept of rejections: MaxRejections at most, each with
+// TruncateRejections returns what is kept of rejections: MaxRejectionsPerSubscriber at most, each with
 // a reason in one line of MaxReasonBytes at most. A poll that says more is not refused:
 // its subscriber would be cut off for the wording of a reason.
-func BoundRejections(rejections []Rejection) []Rejection {
-	bounded := slices.Clone(rejections[:min(len(rejections), MaxRejections)])
+func TruncateRejections(rejections []Rejection) []Rejection {
+	bounded := slices.Clone(rejections[:min(len(rejections), MaxRejectionsPerSubscriber)])
 	for i := range bounded {
-		bounded[i].Reason = boundReason(bounded[i].Reason)
+		bounded[i].Reason = truncateReason(bounded[i].Reason)
 	}
 	return bounded
 }
 
-func boundReason(reason string) string {
+func truncateReason(reason string) string {
 	line := strings.Map(func(r rune) rune {
-		if notInLine(r) {
+		if isUnprintable(r) {
 			return ' '
 		}
 		return r
@@ -140,7 +140,7 @@
 	// Version is the newest that the subscriber has taken; 0 where it holds nothing
 	// and wants a snapshot.
 	Version Version `json:"version"`
-	// Rejected are the resources of that version which it can't use.
+	// RejectedVersion are the resources of that version which it can't use.
 	Rejected []Rejection `json:"rejected,omitempty"`
 	// WaitMS is for how long the answer may wait for news, in milliseconds.
 	WaitMS int `json:"wait_ms"`
@@ -151,17 +151,17 @@
 	return time.Duration(min(max(p.WaitMS, 0), int(MaxWait.Milliseconds()))) * time.Millisecond
 }
 
-// Check tells what is wrong with a poll that was received. Reasons of rejections may
-// say anything: see BoundRejections.
-func (p *Poll) Check() error {
-	if err := CheckName("subscriber", p.Subscriber); err != nil {
+// Validate tells what is wrong with a poll that was received. Reasons of rejections may
+// say anything: see TruncateRejections.
+func (p *Poll) Validate() error {
+	if err := ValidateName("subscriber", p.Subscriber); err != nil {
 		return err
 	}
 	if len(p.Rejected) > MaxServices {
 		return fmt.Errorf("rejected: found %d, wanted %d at most", len(p.Rejected), MaxServices)
 	}
 	for i := range p.Rejected {
-		if err := CheckName("service", p.Rejected[i].Service); err != nil {
+		if err := ValidateName("service", p.Rejected[i].Service); err != nil {
 			return fmt.Errorf("rejected[%d].%w", i, err)
 		}
 	}
@@ -171,37 +171,37 @@
 	if p.ServicesDigest != 0 && p.Services != nil {
 		return fmt.Errorf("services_digest: found it beside services, wanted one of them")
 	}
-	return p.Services.Check()
+	return p.Services.Validate()
 }
 
-// Refusal is why a relay has no update for a poll.
-type Refusal string
+// ErrorCode is why a relay has no update for a poll.
+type ErrorCode string
 
 // The refusals of a relay.
 const (
-	RefusalNotReady Refusal = "not_ready" // it has not heard from a council yet
-	RefusalBehind   Refusal = "behind"    // the subscriber holds a newer version than the relay
-	RefusalBusy     Refusal = "busy"      // too many snapshots under way: come again after RetryMS
-	RefusalFull     Refusal = "full"      // too many subscribers
-	RefusalDraining Refusal = "draining"  // it ends: another relay is to be asked
-	RefusalRegion   Refusal = "region"    // it serves another region
-	RefusalInvalid  Refusal = "invalid"   // the poll can't be understood
-	// RefusalUnknownServices is of a digest that the relay does not know: the same poll is
+	CodeNotReady    ErrorCode = "not_ready" // it has not heard from a council yet
+	CodeBehind      ErrorCode = "behind"    // the subscriber holds a newer version than the relay
+	CodeBusy        ErrorCode = "busy"      // too many snapshots under way: come again after RetryAfterMS
+	CodeFull        ErrorCode = "full"      // too many subscribers
+	CodeDraining    ErrorCode = "draining"  // it ends: another relay is to be asked
+	CodeWrongRegion ErrorCode = "region"    // it serves another region
+	CodeInvalid     ErrorCode = "invalid"   // the poll can't be understood
+	// CodeUnknownServices is of a digest that the relay does not know: the same poll is
 	// to be sent again with its services.
-	RefusalUnknownServices Refusal = "unknown_services"
+	CodeUnknownServices ErrorCode = "unknown_services"
 )
 
-// PollAnswer is a relay's answer to a poll: an update, which may bring nothing new,
+// PollResponse is a relay's answer to a poll: an update, which may bring nothing new,
 // or a refusal.
-type PollAnswer struct {
+type PollResponse struct {
 	Region string `json:"region"`
 	// AgeMS is how long ago the relay last heard from a council that has a leader, in
 	// milliseconds: its update lacks no change that is older.
-	AgeMS   int64   `json:"age_ms"`
-	Update  *Update `json:"update,omitempty"`
-	Refusal Refusal `json:"refusal,omitempty"`
-	Reason  string  `json:"reason,omitempty"`   // of the refusal, in one line
-	RetryMS int64   `json:"retry_ms,omitempty"` // with RefusalBusy
+	AgeMS        int64     `json:"age_ms"`
+	Update       *Update   `json:"update,omitempty"`
+	ErrorCode    ErrorCode `json:"refusal,omitempty"`
+	Reason       string    `json:"reason,omitempty"`   // of the refusal, in one line
+	RetryAfterMS int64     `json:"retry_ms,omitempty"` // with CodeBusy
 }
 
 // maxAge stands for all ages above it, and for one that makes no sense.
@@ -209,16 +209,16 @@
 
 // Age is AgeMS as a duration. A negative age makes no sense: the answer counts as
 // stale.
-func (a *PollAnswer) Age() time.Duration {
+func (a *PollResponse) Age() time.Duration {
 	if a.AgeMS < 0 || a.AgeMS > maxAge.Milliseconds() {
 		return maxAge
 	}
 	return time.Duration(a.AgeMS) * time.Millisecond
 }
 
-// CheckName holds a name against its bounds: 1 to MaxNameBytes printable ASCII bytes
+// ValidateName holds a name against its bounds: 1 to MaxNameBytes printable ASCII bytes
 // without blanks.
-func CheckName(what, name string) error {
+func ValidateName(what, name string) error {
 	good := name != "" && len(name) <= MaxNameBytes
 	for i := 0; good && i < len(name); i++ {
 		good = name[i] > ' ' && name[i] < 0x7f
--- a/internal/fleet/configuration/message_test.go
+++ b/internal/fleet/configuration/message_test.go
@@ -31,7 +31,7 @@
 
 // isLine tells whether a text is one printable line that is not long.
 func isLine(text string) bool {
-	return utf8.ValidString(text) && !strings.ContainsFunc(text, notInLine) && len(text) <= 400
+	return utf8.ValidString(text) && !strings.ContainsFunc(text, isUnprintable) && len(text) <= 400
 }
 
 // A sidecar that calls no service must not be sent all of them.
@@ -71,14 +71,14 @@
 	valid := func() Poll {
 		return Poll{Region: "r", Subscriber: "s", Services: Subscription{"a", "b"}, Rejected: []Rejection{{Service: "a", Version: 1, Reason: `found "x", wanted é`}}}
 	}
-	if p := valid(); p.Check() != nil {
-		t.Errorf("found %v of a valid poll, wanted none", p.Check())
+	if p := valid(); p.Validate() != nil {
+		t.Errorf("found %v of a valid poll, wanted none", p.Validate())
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := valid()
 			c.spoil(&p)
-			oneLine(t, p.Check(), c.parts...)
+			oneLine(t, p.Validate(), c.parts...)
 		})
 	}
 }
@@ -98,13 +98,13 @@
 		}
 		given := slices.Clone(poll.Rejected)
 		registry := NewRegistry()
-		if err := poll.Check(); err != nil || !registry.Heard(0, &poll) || !slices.Equal(poll.Rejected, given) {
+		if err := poll.Validate(); err != nil || !registry.Record(0, &poll) || !slices.Equal(poll.Rejected, given) {
 			t.Fatalf("found %v, or the caller's own changed", err)
 		}
 		for i := range reasons {
 			status := registry.Status(0, fmt.Sprint(i))[0]
-			if known := status.Rejected != 0; known != (i < MaxRejections) {
-				t.Fatalf("rejection %d: found %v, wanted the first %d kept", i, known, MaxRejections)
+			if known := status.RejectedVersion != 0; known != (i < MaxRejectionsPerSubscriber) {
+				t.Fatalf("rejection %d: found %v, wanted the first %d kept", i, known, MaxRejectionsPerSubscriber)
 			}
 			if len(status.Reason) > MaxReasonBytes || !isLine(status.Reason) {
 				t.Fatalf("found the reason %q, wanted one line of %d bytes at most", status.Reason, MaxReasonBytes)
@@ -120,7 +120,7 @@
 		}
 	}
 	for ms, want := range map[int64]time.Duration{-1: maxAge, 0: 0, 20: 20 * time.Millisecond, math.MaxInt64: maxAge, math.MinInt64: maxAge} {
-		if got := (&PollAnswer{AgeMS: ms}).Age(); got != want {
+		if got := (&PollResponse{AgeMS: ms}).Age(); got != want {
 			t.Errorf("age_ms %d: found %v, wanted %v", ms, got, want)
 		}
 	}
@@ -140,12 +140,12 @@
 
 func TestCheckName(t *testing.T) {
 	for _, good := range []string{"a", "~", "svc-7.zone/x", strings.Repeat("n", MaxNameBytes)} {
-		if err := CheckName("service", good); err != nil {
+		if err := ValidateName("service", good); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, bad := range []string{"", " ", "a b", "a\n", "\x7f", "é", strings.Repeat("n", MaxNameBytes+1), strings.Repeat("\x00", 1000)} {
-		oneLine(t, CheckName("service", bad), "service:", "found", "wanted")
+		oneLine(t, ValidateName("service", bad), "service:", "found", "wanted")
 	}
 }
 
--- a/internal/fleet/configuration/model_test.go
+++ b/internal/fleet/configuration/model_test.go
@@ -39,7 +39,7 @@
 
 func newModel(seed uint64, relays int) *model {
 	m := &model{world: newWorld(seed, relays, modelSubscriptions)}
-	m.admission = AdmissionSettings{Places: 2, Lease: 2 * time.Second, RetryLeast: 50 * time.Millisecond, RetryMost: 500 * time.Millisecond}
+	m.admission = AdmissionSettings{Slots: 2, SlotTimeout: 2 * time.Second, RetryMin: 50 * time.Millisecond, RetryMax: 500 * time.Millisecond}
 	for _, relay := range m.relays {
 		relay.admission = NewAdmission(m.admission)
 	}
@@ -143,7 +143,7 @@
 	"lose none":  func(m *model, _ int) { m.loss = 0 },
 	"no leader":  func(m *model, _ int) { m.setSilent(true) },
 	"leader":     func(m *model, _ int) { m.setSilent(false) },
-	"save":       func(m *model, _ int) { m.council.saved = m.council.store.Copy() },
+	"save":       func(m *model, _ int) { m.council.saved = m.council.store.Clone() },
 	"restore":    func(m *model, _ int) { m.restore() },
 	"wait":       func(m *model, n int) { m.play(time.Duration(n*37%3000) * time.Millisecond) },
 	"wait again": func(m *model, n int) { m.play(time.Duration(n*53%6000) * time.Millisecond) },
@@ -152,7 +152,7 @@
 // repeat sends an earlier change again, as one whose answer was lost: it is applied
 // once, and its version is the first.
 func (m *model) repeat(n int) {
-	remembered := m.council.store.Remembered
+	remembered := m.council.store.RecentChanges
 	if len(remembered) == 0 || m.council.silent {
 		return
 	}
@@ -235,8 +235,8 @@
 		if !sameResources(r.cache.resources, valuesOf(m.council.store.Resources)) {
 			m.fail("relay %d holds %v, wanted %v", r.index, versionsOf(r.cache.resources), versionsOf(valuesOf(m.council.store.Resources)))
 		}
-		if r.registry.Len() > len(m.subscribers) || r.admission.Peak() > m.admission.Places {
-			m.fail("relay %d knows %d subscribers and had %d snapshots under way, wanted %d and %d at most", r.index, r.registry.Len(), r.admission.Peak(), len(m.subscribers), m.admission.Places)
+		if r.registry.Len() > len(m.subscribers) || r.admission.Peak() > m.admission.Slots {
+			m.fail("relay %d knows %d subscribers and had %d snapshots under way, wanted %d and %d at most", r.index, r.registry.Len(), r.admission.Peak(), len(m.subscribers), m.admission.Slots)
 		}
 	}
 	if len(m.broken) > 0 {
@@ -257,13 +257,13 @@
 func TestBurstIsOneResourceToASlowReader(t *testing.T) {
 	store, relay, reader := &Store{}, &Cache{}, &Cache{}
 	mustApply(t, store, 1, put("first", "a", 0))
-	mustTake(t, relay, store.Since(relay.Version()))
-	mustTake(t, reader, relay.Since(reader.Version(), Subscription{"a"}))
+	mustTake(t, relay, store.UpdateSince(relay.Version()))
+	mustTake(t, reader, relay.UpdateSince(reader.Version(), Subscription{"a"}))
 	for i := range 200 {
 		mustApply(t, store, 1, put(fmt.Sprint("n", i), "a", -1))
-		mustTake(t, relay, store.Since(relay.Version()))
+		mustTake(t, relay, store.UpdateSince(relay.Version()))
 	}
-	update := relay.Since(reader.Version(), Subscription{"a"})
+	update := relay.UpdateSince(reader.Version(), Subscription{"a"})
 	if len(update.Resources) != 1 {
 		t.Fatalf("found %d resources, wanted 1", len(update.Resources))
 	}
@@ -296,7 +296,7 @@
 
 func mustTake(t *testing.T, cache *Cache, update Update) {
 	t.Helper()
-	if _, err := cache.Take(update); err != nil {
+	if _, err := cache.Apply(update); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -308,11 +308,11 @@
 	w := newWorld(5, 2, []Subscription{{"a", "b"}, nil})
 	w.run(time.Second)
 	w.change("a")
-	w.council.saved = w.council.store.Copy()
+	w.council.saved = w.council.store.Clone()
 	w.change("a")
 	w.change("b")
 	w.run(time.Second)
-	late := w.council.store.Since(0)
+	late := w.council.store.UpdateSince(0)
 	if _, found := w.subscribers[0].decider.Cache().Resource("b"); !found {
 		t.Fatal("found no b before the restore")
 	}
@@ -323,7 +323,7 @@
 			t.Error(differs)
 		}
 		before := s.decider.Version()
-		if _, err := s.decider.Cache().Take(late); err == nil || s.decider.Version() != before {
+		if _, err := s.decider.Cache().Apply(late); err == nil || s.decider.Version() != before {
 			t.Errorf("%s: found a late answer taken", s.name)
 		}
 	}
@@ -413,7 +413,7 @@
 	rejecting.rejected = []Rejection{{Service: "a", Version: bad, Reason: "no such class"}}
 	w.run(3 * time.Second)
 	status := w.relays[0].registry.Status(w.now, "a")
-	if len(status) != 2 || status[0].Rejected != 0 || status[1].Rejected != bad || status[1].Reason != "no such class" {
+	if len(status) != 2 || status[0].RejectedVersion != 0 || status[1].RejectedVersion != bad || status[1].Reason != "no such class" {
 		t.Errorf("found %+v, wanted %v rejected by the second alone", status, bad)
 	}
 	if status[0].Version != bad || status[1].Version != bad || good >= bad {
@@ -423,7 +423,7 @@
 	rejecting.rejected = nil
 	w.run(3 * time.Second)
 	for _, s := range w.relays[0].registry.Status(w.now, "a") {
-		if s.Version != next || s.Rejected != 0 || s.SilentMS > 2000 {
+		if s.Version != next || s.RejectedVersion != 0 || s.SinceLastPollMS > 2000 {
 			t.Errorf("found %+v, wanted %v and no rejection", s, next)
 		}
 	}
--- a/internal/fleet/configuration/registry.go
+++ b/internal/fleet/configuration/registry.go
@@ -10,57 +10,57 @@
 // MaxSubscribers is how many subscribers a relay knows at a time.
 const MaxSubscribers = 16 << 10
 
-// forgetAfter is after what time a subscriber that does not poll is forgotten, and
-// forgetEvery how often they are looked for: not on each poll while there is no room.
+// subscriberTTL is after what time a subscriber that does not poll is forgotten, and
+// expiryInterval how often they are looked for: not on each poll while there is no room.
 const (
-	forgetAfter = 15 * time.Minute
-	forgetEvery = 10 * time.Second
+	subscriberTTL  = 15 * time.Minute
+	expiryInterval = 10 * time.Second
 )
 
 // Registry remembers what each subscriber of a relay has acknowledged: a constant
 // amount for each, whatever has changed meanwhile.
 type Registry struct {
-	subscribers map[string]*subscriber
-	forgetAt    time.Duration // when subscribers are forgotten next
+	subscribers map[string]*subscriberState
+	nextExpiry  time.Duration // when subscribers are forgotten next
 }
 
-type subscriber struct {
+type subscriberState struct {
 	services Subscription
 	digest   uint64 // of services
 	version  Version
 	rejected []Rejection
-	heard    time.Duration
+	lastPoll time.Duration
 }
 
 // NewRegistry returns one that knows nobody.
-func NewRegistry() *Registry { return &Registry{subscribers: map[string]*subscriber{}} }
+func NewRegistry() *Registry { return &Registry{subscribers: map[string]*subscriberState{}} }
 
-// Heard takes a poll that was checked. It returns false where there is no room for a
+// Record takes a poll that was checked. It returns false where there is no room for a
 // further subscriber.
-func (r *Registry) Heard(now time.Duration, p *Poll) bool {
-	if now >= r.forgetAt {
-		r.Forget(now)
-		r.forgetAt = now + forgetEvery
+func (r *Registry) Record(now time.Duration, p *Poll) bool {
+	if now >= r.nextExpiry {
+		r.ExpireInactive(now)
+		r.nextExpiry = now + expiryInterval
 	}
 	known := r.subscribers[p.Subscriber]
 	if known == nil {
 		if len(r.subscribers) >= MaxSubscribers {
 			return false
 		}
-		known = &subscriber{}
+		known = &subscriberState{}
 		r.subscribers[p.Subscriber] = known
 	}
 	if (known.services == nil) != (p.Services == nil) || !slices.Equal(known.services, p.Services) {
 		known.services = slices.Clone(p.Services)
 		known.digest = known.services.Digest()
 	}
-	known.version, known.rejected, known.heard = p.Version, BoundRejections(p.Rejected), now
+	known.version, known.rejected, known.lastPoll = p.Version, TruncateRejections(p.Rejected), now
 	return true
 }
 
-// Resolve puts the services that a subscriber has named before in the place of their
+// ResolveDigest puts the services that a subscriber has named before in the place of their
 // digest. It returns false where they are not known.
-func (r *Registry) Resolve(p *Poll) bool {
+func (r *Registry) ResolveDigest(p *Poll) bool {
 	if p.ServicesDigest == 0 {
 		return true
 	}
@@ -72,9 +72,9 @@
 	return true
 }
 
-// Forget drops the subscribers that have not polled for long.
-func (r *Registry) Forget(now time.Duration) {
-	maps.DeleteFunc(r.subscribers, func(_ string, s *subscriber) bool { return now > s.heard+forgetAfter })
+// ExpireInactive drops the subscribers that have not polled for long.
+func (r *Registry) ExpireInactive(now time.Duration) {
+	maps.DeleteFunc(r.subscribers, func(_ string, s *subscriberState) bool { return now > s.lastPoll+subscriberTTL })
 }
 
 // Len is how many subscribers are known.
@@ -85,11 +85,11 @@
 	Subscriber string `json:"subscriber"`
 	// Version is the newest of the region that the subscriber has taken.
 	Version Version `json:"version"`
-	// Rejected and Reason are of the service's version that it can't use; 0 for none.
-	Rejected Version `json:"rejected,omitempty"`
-	Reason   string  `json:"reason,omitempty"`
-	// SilentMS is for how long the relay has not heard from it, in milliseconds.
-	SilentMS int64 `json:"silent_ms"`
+	// RejectedVersion and Reason are of the service's version that it can't use; 0 for none.
+	RejectedVersion Version `json:"rejected,omitempty"`
+	Reason          string  `json:"reason,omitempty"`
+	// SinceLastPollMS is for how long the relay has not heard from it, in milliseconds.
+	SinceLastPollMS int64 `json:"silent_ms"`
 }
 
 // Status returns the subscribers of a service, by name.
@@ -99,10 +99,10 @@
 		if known.services != nil && !slices.Contains(known.services, service) {
 			continue
 		}
-		status := SubscriberStatus{Subscriber: name, Version: known.version, SilentMS: (now - known.heard).Milliseconds()}
+		status := SubscriberStatus{Subscriber: name, Version: known.version, SinceLastPollMS: (now - known.lastPoll).Milliseconds()}
 		for _, rejection := range known.rejected {
 			if rejection.Service == service {
-				status.Rejected, status.Reason = rejection.Version, rejection.Reason
+				status.RejectedVersion, status.Reason = rejection.Version, rejection.Reason
 			}
 		}
 		all = append(all, status)
@@ -116,7 +116,7 @@
 	newest := map[string]SubscriberStatus{}
 	for _, relay := range relays {
 		for _, status := range relay {
-			if known, found := newest[status.Subscriber]; !found || status.SilentMS < known.SilentMS {
+			if known, found := newest[status.Subscriber]; !found || status.SinceLastPollMS < known.SinceLastPollMS {
 				newest[status.Subscriber] = status
 			}
 		}
--- a/internal/fleet/configuration/registry_test.go
+++ b/internal/fleet/configuration/registry_test.go
@@ -10,14 +10,14 @@
 
 func TestRegistryTellsWhoRejects(t *testing.T) {
 	r := NewRegistry()
-	r.Heard(time.Second, &Poll{Subscriber: "s1", Services: Subscription{"a", "b"}, Version: 7})
-	r.Heard(2*time.Second, &Poll{Subscriber: "s0", Services: Subscription{"a"}, Version: 7, Rejected: []Rejection{{Service: "a", Version: 7, Reason: "no such class"}}})
-	r.Heard(2*time.Second, &Poll{Subscriber: "all", Version: 6})
-	r.Heard(2*time.Second, &Poll{Subscriber: "none", Services: Subscription{}, Version: 7})
+	r.Record(time.Second, &Poll{Subscriber: "s1", Services: Subscription{"a", "b"}, Version: 7})
+	r.Record(2*time.Second, &Poll{Subscriber: "s0", Services: Subscription{"a"}, Version: 7, Rejected: []Rejection{{Service: "a", Version: 7, Reason: "no such class"}}})
+	r.Record(2*time.Second, &Poll{Subscriber: "all", Version: 6})
+	r.Record(2*time.Second, &Poll{Subscriber: "none", Services: Subscription{}, Version: 7})
 	wanted := []SubscriberStatus{
-		{Subscriber: "all", Version: 6, SilentMS: 1000},
-		{Subscriber: "s0", Version: 7, Rejected: 7, Reason: "no such class", SilentMS: 1000},
-		{Subscriber: "s1", Version: 7, SilentMS: 2000},
+		{Subscriber: "all", Version: 6, SinceLastPollMS: 1000},
+		{Subscriber: "s0", Version: 7, RejectedVersion: 7, Reason: "no such class", SinceLastPollMS: 1000},
+		{Subscriber: "s1", Version: 7, SinceLastPollMS: 2000},
 	}
 	if got := r.Status(3*time.Second, "a"); !slices.Equal(got, wanted) {
 		t.Errorf("found %+v, wanted %+v", got, wanted)
@@ -25,8 +25,8 @@
 	if got := r.Status(3*time.Second, "b"); !slices.Equal(got, []SubscriberStatus{wanted[0], wanted[2]}) {
 		t.Errorf("found %+v, wanted all and s1", got)
 	}
-	r.Heard(4*time.Second, &Poll{Subscriber: "s0", Services: Subscription{"a"}, Version: 8})
-	if got := r.Status(4*time.Second, "a")[1]; got.Rejected != 0 || got.Reason != "" || got.Version != 8 {
+	r.Record(4*time.Second, &Poll{Subscriber: "s0", Services: Subscription{"a"}, Version: 8})
+	if got := r.Status(4*time.Second, "a")[1]; got.RejectedVersion != 0 || got.Reason != "" || got.Version != 8 {
 		t.Errorf("found %+v, wanted no rejection after the newer version", got)
 	}
 }
@@ -35,7 +35,7 @@
 func TestRegistryOwnsWhatItKeeps(t *testing.T) {
 	r := NewRegistry()
 	poll := Poll{Subscriber: "s", Services: Subscription{"a"}, Rejected: []Rejection{{Service: "a", Version: 1, Reason: "x"}}}
-	r.Heard(0, &poll)
+	r.Record(0, &poll)
 	poll.Services[0], poll.Rejected[0].Reason = "b", "y"
 	if got := r.Status(0, "a"); len(got) != 1 || got[0].Reason != "x" {
 		t.Errorf("found %+v, wanted s with its own reason", got)
@@ -45,18 +45,18 @@
 func TestRegistryForgets(t *testing.T) {
 	r := NewRegistry()
 	for i := range MaxSubscribers {
-		if !r.Heard(0, &Poll{Subscriber: fmt.Sprint(i)}) {
+		if !r.Record(0, &Poll{Subscriber: fmt.Sprint(i)}) {
 			t.Fatalf("found no room for subscriber %d", i)
 		}
 	}
 	late := &Poll{Subscriber: "late"}
-	if r.Heard(time.Minute, late) {
+	if r.Record(time.Minute, late) {
 		t.Error("found room beyond the bound")
 	}
-	if !r.Heard(time.Minute, &Poll{Subscriber: "7"}) || r.Len() != MaxSubscribers {
+	if !r.Record(time.Minute, &Poll{Subscriber: "7"}) || r.Len() != MaxSubscribers {
 		t.Error("found no room for one that is known")
 	}
-	if now := forgetAfter + 30*time.Second; !r.Heard(now, late) || r.Len() != 2 {
+	if now := subscriberTTL + 30*time.Second; !r.Record(now, late) || r.Len() != 2 {
 		t.Errorf("found %d known, wanted 7 and late after %v", r.Len(), now)
 	}
 }
@@ -64,9 +64,9 @@
 // One that has ended is not reported for ever, although there is room.
 func TestRegistryForgetsWithoutNeedOfRoom(t *testing.T) {
 	r := NewRegistry()
-	r.Heard(0, &Poll{Subscriber: "ended"})
-	for now := time.Duration(0); now <= forgetAfter+forgetEvery+time.Second; now += time.Second {
-		r.Heard(now, &Poll{Subscriber: "alive"})
+	r.Record(0, &Poll{Subscriber: "ended"})
+	for now := time.Duration(0); now <= subscriberTTL+expiryInterval+time.Second; now += time.Second {
+		r.Record(now, &Poll{Subscriber: "alive"})
 	}
 	if r.Len() != 1 {
 		t.Errorf("found %d known, wanted 1", r.Len())
@@ -81,7 +81,7 @@
 			for s := range subscribers {
 				poll := Poll{Subscriber: fmt.Sprint("subscriber-", s), Services: subscriptionOf(20), Version: Version(from + i),
 					Rejected: []Rejection{{Service: "service-0", Version: Version(from + i), Reason: fmt.Sprint("reason ", i)}}}
-				r.Heard(time.Duration(i)*time.Millisecond, &poll)
+				r.Record(time.Duration(i)*time.Millisecond, &poll)
 			}
 		}
 		return heapBytes()
@@ -114,11 +114,11 @@
 
 func TestMergeStatus(t *testing.T) {
 	got := MergeStatus(
-		[]SubscriberStatus{{Subscriber: "b", Version: 1, SilentMS: 5000}, {Subscriber: "a", Version: 3, SilentMS: 10}},
+		[]SubscriberStatus{{Subscriber: "b", Version: 1, SinceLastPollMS: 5000}, {Subscriber: "a", Version: 3, SinceLastPollMS: 10}},
 		nil,
-		[]SubscriberStatus{{Subscriber: "b", Version: 2, SilentMS: 20, Rejected: 2, Reason: "r"}, {Subscriber: "a", Version: 1, SilentMS: 9000}},
+		[]SubscriberStatus{{Subscriber: "b", Version: 2, SinceLastPollMS: 20, RejectedVersion: 2, Reason: "r"}, {Subscriber: "a", Version: 1, SinceLastPollMS: 9000}},
 	)
-	wanted := []SubscriberStatus{{Subscriber: "a", Version: 3, SilentMS: 10}, {Subscriber: "b", Version: 2, SilentMS: 20, Rejected: 2, Reason: "r"}}
+	wanted := []SubscriberStatus{{Subscriber: "a", Version: 3, SinceLastPollMS: 10}, {Subscriber: "b", Version: 2, SinceLastPollMS: 20, RejectedVersion: 2, Reason: "r"}}
 	if !slices.Equal(got, wanted) {
 		t.Errorf("found %+v, wanted %+v", got, wanted)
 	}
--- a/internal/fleet/configuration/servicefile/servicefile.go
+++ b/internal/fleet/configuration/servicefile/servicefile.go
@@ -73,8 +73,8 @@
 // UnmarshalText reads a duration of whole microseconds.
 func (a *aim) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
-	if err != nil || value < 0 || value > configuration.MaxAim || value%time.Microsecond != 0 {
-		return fmt.Errorf(`a duration of whole microseconds with its unit, like "250ms", of %v at most`, configuration.MaxAim)
+	if err != nil || value < 0 || value > configuration.MaxLatencyObjective || value%time.Microsecond != 0 {
+		return fmt.Errorf(`a duration of whole microseconds with its unit, like "250ms", of %v at most`, configuration.MaxLatencyObjective)
 	}
 	microseconds := value.Microseconds()
 	a.microseconds = &microseconds
@@ -84,9 +84,9 @@
 // worth is a number that a file may leave out.
 type worth struct{ value *float64 }
 
-// UnmarshalText reads a number from 0 to configuration.MaxWorth.
+// UnmarshalText reads a number from 0 to configuration.MaxPriorityWeight.
 func (w *worth) UnmarshalText(text []byte) (err error) {
-	w.value, err = parseNumber(text, configuration.MaxWorth)
+	w.value, err = parseNumber(text, configuration.MaxPriorityWeight)
 	return err
 }
 
@@ -122,7 +122,7 @@
 	if err := strictfile.Decode(name, text, &d); err != nil {
 		return nil, err
 	}
-	if err := configuration.CheckName("service", d.Service); err != nil {
+	if err := configuration.ValidateName("service", d.Service); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	settings, err := encodeSettings(&d)
@@ -154,7 +154,7 @@
 	}
 	for _, c := range d.Classes {
 		settings.Classes = append(settings.Classes, configuration.Class{
-			Name: c.Name, AimMicroseconds: c.Aim.microseconds, Worth: c.Worth.value, LateWorth: c.LateWorth.value,
+			Name: c.Name, LatencyObjectiveMicroseconds: c.Aim.microseconds, PriorityWeight: c.Worth.value, LatePriorityWeight: c.LateWorth.value,
 		})
 	}
 	return settings
@@ -179,14 +179,14 @@
 	}
 	for _, c := range settings.Classes {
 		fmt.Fprintf(&b, "\n[[class]]\nname = %q\n", c.Name)
-		if c.AimMicroseconds != nil {
-			fmt.Fprintf(&b, "aim = %q\n", time.Duration(*c.AimMicroseconds)*time.Microsecond)
+		if c.LatencyObjectiveMicroseconds != nil {
+			fmt.Fprintf(&b, "aim = %q\n", time.Duration(*c.LatencyObjectiveMicroseconds)*time.Microsecond)
 		}
-		if c.Worth != nil {
-			fmt.Fprintf(&b, "worth = %s\n", number(*c.Worth))
+		if c.PriorityWeight != nil {
+			fmt.Fprintf(&b, "worth = %s\n", number(*c.PriorityWeight))
 		}
-		if c.LateWorth != nil {
-			fmt.Fprintf(&b, "late_worth = %s\n", number(*c.LateWorth))
+		if c.LatePriorityWeight != nil {
+			fmt.Fprintf(&b, "late_worth = %s\n", number(*c.LatePriorityWeight))
 		}
 	}
 	return b.String(), nil
--- a/internal/fleet/configuration/servicefile/servicefile_test.go
+++ b/internal/fleet/configuration/servicefile/servicefile_test.go
@@ -101,10 +101,10 @@
 		for _, n := range rapid.SliceOfNDistinct(name, 0, 5, rapid.ID).Draw(t, "classes") {
 			c := class{Name: n}
 			if rapid.Bool().Draw(t, "has aim") {
-				c.Aim.microseconds = new(rapid.Int64Range(0, configuration.MaxAim.Microseconds()).Draw(t, "aim"))
+				c.Aim.microseconds = new(rapid.Int64Range(0, configuration.MaxLatencyObjective.Microseconds()).Draw(t, "aim"))
 			}
 			if rapid.Bool().Draw(t, "has worth") {
-				c.Worth.value = new(rapid.Float64Range(0, configuration.MaxWorth).Draw(t, "worth"))
+				c.Worth.value = new(rapid.Float64Range(0, configuration.MaxPriorityWeight).Draw(t, "worth"))
 				c.LateWorth.value = new(rapid.Float64Range(0, 1).Draw(t, "late worth"))
 			}
 			d.Classes = append(d.Classes, c)
--- a/internal/fleet/configuration/settings.go
+++ b/internal/fleet/configuration/settings.go
@@ -9,11 +9,11 @@
 
 // Bounds of one service's settings.
 const (
-	MaxTenants = 128
-	MaxClasses = 32
-	MaxAim     = 10 * time.Minute
-	MaxQuota   = 1e9 // requests a second
-	MaxWorth   = 1e9
+	MaxTenants          = 128
+	MaxClasses          = 32
+	MaxLatencyObjective = 10 * time.Minute
+	MaxQuota            = 1e9 // requests a second
+	MaxPriorityWeight   = 1e9
 )
 
 // Settings are what a service's resource may say: what takes force in a running
@@ -35,21 +35,21 @@
 // Class is what may change of a class of requests that the sidecar knows.
 type Class struct {
 	Name string `json:"name"`
-	// AimMicroseconds is within what an answer earns the full worth.
-	AimMicroseconds *int64   `json:"aim-us,omitempty"`
-	Worth           *float64 `json:"worth,omitempty"`
-	// LateWorth is the share of the worth that is left after the aim, 0 to 1.
-	LateWorth *float64 `json:"late-worth,omitempty"`
+	// LatencyObjectiveMicroseconds is within what an answer earns the full worth.
+	LatencyObjectiveMicroseconds *int64   `json:"aim-us,omitempty"`
+	PriorityWeight               *float64 `json:"worth,omitempty"`
+	// LatePriorityWeight is the share of the worth that is left after the aim, 0 to 1.
+	LatePriorityWeight *float64 `json:"late-worth,omitempty"`
 }
 
 // Keys of a sidecar's settings that a running one can't take. A change of them is
 // refused, so that nobody waits for it to take force.
 var (
-	topKeys    = []string{"tenants", "classes"}
-	tenantKeys = []string{"name", "quota-per-s"}
-	classKeys  = []string{"name", "aim-us", "worth", "late-worth"}
-	rollKeys   = []string{"limits", "rules", "extra", "discovery", "round-us", "over-share-worth"}
-	rollOfOne  = []string{"deadline-us", "aim-stretch", "effect", "group", "window-us"} // of a class
+	topKeys          = []string{"tenants", "classes"}
+	tenantKeys       = []string{"name", "quota-per-s"}
+	classKeys        = []string{"name", "aim-us", "worth", "late-worth"}
+	restartKeys      = []string{"limits", "rules", "extra", "discovery", "round-us", "over-share-worth"}
+	restartClassKeys = []string{"deadline-us", "aim-stretch", "effect", "group", "window-us"} // of a class
 )
 
 // ParseSettings reads a service's settings strictly and checks them. The error is one
@@ -72,7 +72,7 @@
 		case "classes":
 			settings.Classes, err = readClasses(member.value)
 		default:
-			err = refuseKey(placeOf("settings", member.key), member.key, topKeys, rollKeys)
+			err = unknownKeyError(memberPath("settings", member.key), member.key, topKeys, restartKeys)
 		}
 		if err != nil {
 			return Settings{}, err
@@ -98,8 +98,8 @@
 	return canonical, nil
 }
 
-// refuseKey is the error for a key that is not one of those known.
-func refuseKey(place, key string, known, roll []string) error {
+// unknownKeyError is the error for a key that is not one of those known.
+func unknownKeyError(place, key string, known, roll []string) error {
 	if slices.Contains(roll, key) {
 		return fmt.Errorf("%s: found a change that takes force at a start only, wanted one of %q: change the files and roll", place, known)
 	}
@@ -117,7 +117,7 @@
 		if err := tenants[i].read(place, element); err != nil {
 			return nil, err
 		}
-		if err := checkEntryName(place+".name", tenants[i].Name, names); err != nil {
+		if err := validateEntryName(place+".name", tenants[i].Name, names); err != nil {
 			return nil, err
 		}
 	}
@@ -130,14 +130,14 @@
 		return err
 	}
 	for _, member := range members {
-		at := placeOf(place, member.key)
+		at := memberPath(place, member.key)
 		switch member.key {
 		case "name":
 			t.Name, err = readString(at, member.value)
 		case "quota-per-s":
 			t.Quota, err = readNumber(at, member.value, MaxQuota)
 		default:
-			err = refuseKey(at, member.key, tenantKeys, nil)
+			err = unknownKeyError(at, member.key, tenantKeys, nil)
 		}
 		if err != nil {
 			return err
@@ -157,7 +157,7 @@
 		if err := classes[i].read(place, element); err != nil {
 			return nil, err
 		}
-		if err := checkEntryName(place+".name", classes[i].Name, names); err != nil {
+		if err := validateEntryName(place+".name", classes[i].Name, names); err != nil {
 			return nil, err
 		}
 	}
@@ -170,34 +170,34 @@
 		return err
 	}
 	for _, member := range members {
-		if err := c.readMember(placeOf(place, member.key), member); err != nil {
+		if err := c.readMember(memberPath(place, member.key), member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Class) readMember(place string, member member) (err error) {
+func (c *Class) readMember(place string, member objectMember) (err error) {
 	switch member.key {
 	case "name":
 		c.Name, err = readString(place, member.value)
 	case "aim-us":
-		c.AimMicroseconds = new(int64)
-		*c.AimMicroseconds, err = readWhole(place, member.value, MaxAim.Microseconds())
+		c.LatencyObjectiveMicroseconds = new(int64)
+		*c.LatencyObjectiveMicroseconds, err = readInteger(place, member.value, MaxLatencyObjective.Microseconds())
 	case "worth":
-		c.Worth = new(float64)
-		*c.Worth, err = readNumber(place, member.value, MaxWorth)
+		c.PriorityWeight = new(float64)
+		*c.PriorityWeight, err = readNumber(place, member.value, MaxPriorityWeight)
 	case "late-worth":
-		c.LateWorth = new(float64)
-		*c.LateWorth, err = readNumber(place, member.value, 1)
+		c.LatePriorityWeight = new(float64)
+		*c.LatePriorityWeight, err = readNumber(place, member.value, 1)
 	default:
-		err = refuseKey(place, member.key, classKeys, rollOfOne)
+		err = unknownKeyError(place, member.key, classKeys, restartClassKeys)
 	}
 	return err
 }
 
-func checkEntryName(place, name string, seen map[string]bool) error {
-	if err := CheckName(place, name); err != nil {
+func validateEntryName(place, name string, seen map[string]bool) error {
+	if err := ValidateName(place, name); err != nil {
 		return err
 	}
 	if seen[name] {
--- a/internal/fleet/configuration/settings_test.go
+++ b/internal/fleet/configuration/settings_test.go
@@ -17,7 +17,7 @@
 		`{"classes":[]}`: {Classes: []Class{}},
 		`{"tenants":[{"name":"a","quota-per-s":10},{"quota-per-s":2.5e1,"name":"b"},{"name":"c"}]}`: {Tenants: []Tenant{{"a", 10}, {"b", 25}, {"c", 0}}},
 		`{"classes":[{"name":"call","aim-us":2500,"worth":3.5,"late-worth":0.25},{"name":"x"}]}`:    {Classes: []Class{{"call", &aim, &worth, &late}, {Name: "x"}}},
-		`{"classes":[{"name":"x","worth":0}],"tenants":[]}`:                                         {Classes: []Class{{Name: "x", Worth: &zero}}, Tenants: []Tenant{}},
+		`{"classes":[{"name":"x","worth":0}],"tenants":[]}`:                                         {Classes: []Class{{Name: "x", PriorityWeight: &zero}}, Tenants: []Tenant{}},
 		`{"tenants":[{"\u006eame":"a"}]}`:                                                           {Tenants: []Tenant{{"a", 0}}},
 	}
 	for text, wanted := range cases {
@@ -127,7 +127,7 @@
 			t.Fatalf("found %d tenants and %d classes", len(settings.Tenants), len(settings.Classes))
 		}
 		for _, tenant := range settings.Tenants {
-			if CheckName("name", tenant.Name) != nil || !(tenant.Quota >= 0 && tenant.Quota <= MaxQuota) {
+			if ValidateName("name", tenant.Name) != nil || !(tenant.Quota >= 0 && tenant.Quota <= MaxQuota) {
 				t.Fatalf("found %+v", tenant)
 			}
 		}
--- a/internal/fleet/configuration/status.go
+++ b/internal/fleet/configuration/status.go
@@ -9,12 +9,12 @@
 // StatusParameter is the query parameter that names the service.
 const StatusParameter = "service"
 
-// MaxStatusBytes bounds a StatusAnswer: MaxSubscribers that all reject, with the
+// MaxStatusResponseBytes bounds a StatusResponse: MaxSubscribers that all reject, with the
 // longest names and reasons.
-const MaxStatusBytes = 16 << 20
+const MaxStatusResponseBytes = 16 << 20
 
-// StatusAnswer is how the subscribers of one relay stand to one service.
-type StatusAnswer struct {
+// StatusResponse is how the subscribers of one relay stand to one service.
+type StatusResponse struct {
 	Region string `json:"region"`
 	// Version is the newest that the relay holds; 0 where it has not heard from a
 	// council yet.
@@ -26,4 +26,4 @@
 }
 
 // Age is AgeMS as a duration.
-func (a *StatusAnswer) Age() time.Duration { return time.Duration(a.AgeMS) * time.Millisecond }
+func (a *StatusResponse) Age() time.Duration { return time.Duration(a.AgeMS) * time.Millisecond }
--- a/internal/fleet/configuration/store_test.go
+++ b/internal/fleet/configuration/store_test.go
@@ -100,7 +100,7 @@
 		c.Settings = json.RawMessage(`{"x":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`)
 		return c
 	}
-	for i := range MaxTotalBytes / MaxSettingsBytes {
+	for i := range MaxTotalSettingsBytes / MaxSettingsBytes {
 		mustApply(t, s, 1, full(i))
 	}
 	_, err := s.Apply(1, full(1000))
@@ -118,7 +118,7 @@
 	change.Settings = json.RawMessage("{\n  \"tenants\": [ {\"name\": \"<&>\"} ]\n}\n")
 	mustApply(t, s, 1, change)
 	var received Update
-	if err := json.Unmarshal(mustMarshal(t, s.Since(0)), &received); err != nil {
+	if err := json.Unmarshal(mustMarshal(t, s.UpdateSince(0)), &received); err != nil {
 		t.Fatal(err)
 	}
 	if got, wanted := string(received.Resources[0].Settings), string(s.Resources["a"].Settings); got != wanted {
@@ -142,11 +142,11 @@
 func TestStoreRemembersABoundedNumber(t *testing.T) {
 	s := storeOf(t)
 	first := mustApply(t, s, 1, put("first", "a", -1))
-	for i := range maxRemembered - 1 {
+	for i := range maxRecentChanges - 1 {
 		mustApply(t, s, 1, put(fmt.Sprint("n", i), "a", -1))
 	}
-	if len(s.Remembered) != maxRemembered || s.Remembered[0].ID != "first" || s.Remembered[maxRemembered-1].ID != fmt.Sprint("n", maxRemembered-2) {
-		t.Fatalf("found %d remembered from %q to %q", len(s.Remembered), s.Remembered[0].ID, s.Remembered[len(s.Remembered)-1].ID)
+	if len(s.RecentChanges) != maxRecentChanges || s.RecentChanges[0].ID != "first" || s.RecentChanges[maxRecentChanges-1].ID != fmt.Sprint("n", maxRecentChanges-2) {
+		t.Fatalf("found %d remembered from %q to %q", len(s.RecentChanges), s.RecentChanges[0].ID, s.RecentChanges[len(s.RecentChanges)-1].ID)
 	}
 	if version := mustApply(t, s, 1, put("first", "a", -1)); version != first {
 		t.Errorf("found %v, wanted the oldest remembered, %v", version, first)
@@ -155,7 +155,7 @@
 	if version := mustApply(t, s, 1, put("first", "a", -1)); version == first {
 		t.Error("found a change remembered beyond the bound")
 	}
-	if !slices.IsSortedFunc(s.Remembered, func(a, b Remembered) int { return int(a.Version) - int(b.Version) }) {
+	if !slices.IsSortedFunc(s.RecentChanges, func(a, b AppliedChange) int { return int(a.Version) - int(b.Version) }) {
 		t.Error("found the remembered out of order, wanted the oldest first")
 	}
 }
@@ -178,12 +178,12 @@
 	mustApply(t, s, 1, put("x", "a", -1))
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := s.Since(c.version)
+			got := s.UpdateSince(c.version)
 			if got.From != c.from || got.Version != v(1, 4) || !slices.Equal(names(got.Resources), c.services) {
 				t.Errorf("found %v to %v with %v, wanted %v to 1.4 with %v", got.From, got.Version, names(got.Resources), c.from, c.services)
 			}
 			relay := cacheAt(t, c.version)
-			if _, err := relay.Take(got); c.version > v(1, 4) != (err != nil) {
+			if _, err := relay.Apply(got); c.version > v(1, 4) != (err != nil) {
 				t.Errorf("found %v when %v takes it", err, c.version)
 			}
 		})
@@ -193,7 +193,7 @@
 // cacheAt holds nothing at a version.
 func cacheAt(t *testing.T, version Version) *Cache {
 	cache := &Cache{}
-	if _, err := cache.Take(Update{Version: version}); err != nil {
+	if _, err := cache.Apply(Update{Version: version}); err != nil {
 		t.Fatal(err)
 	}
 	return cache
@@ -201,10 +201,10 @@
 
 func TestEmptyStore(t *testing.T) {
 	var s Store
-	if update := s.Since(0); !update.Snapshot() || update.Version != 0 || len(update.Resources) != 0 {
+	if update := s.UpdateSince(0); !update.IsSnapshot() || update.Version != 0 || len(update.Resources) != 0 {
 		t.Errorf("found %+v", update)
 	}
-	s.BeginSpace(3)
+	s.StartTokenSpace(3)
 	if s.Version != v(3, 1) {
 		t.Errorf("found %v, wanted 3.1", s.Version)
 	}
@@ -221,7 +221,7 @@
 		for i := range rapid.IntRange(0, 30).Draw(t, "changes") {
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
 				space += uint32(rapid.IntRange(0, 2).Draw(t, "spaces")) // 0: of the present space, by a mistake
-				s.BeginSpace(space)
+				s.StartTokenSpace(space)
 			}
 			service := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "service"))
 			change := put(fmt.Sprint("id-", i), service, -1)
@@ -232,14 +232,14 @@
 				t.Fatal(err)
 			}
 		}
-		before, highest := s.Copy(), s.Version
-		s.BeginSpace(space + 1)
-		if !slices.Equal(names(before.Since(0).Resources), names(s.Since(0).Resources)) {
-			t.Fatalf("found the order %v, wanted %v", names(s.Since(0).Resources), names(before.Since(0).Resources))
+		before, highest := s.Clone(), s.Version
+		s.StartTokenSpace(space + 1)
+		if !slices.Equal(names(before.UpdateSince(0).Resources), names(s.UpdateSince(0).Resources)) {
+			t.Fatalf("found the order %v, wanted %v", names(s.UpdateSince(0).Resources), names(before.UpdateSince(0).Resources))
 		}
 		seen := map[Version]bool{}
 		for service, resource := range s.Resources {
-			if resource.Version <= highest || resource.Version.Space() != space+1 || resource.Version >= s.Version || seen[resource.Version] {
+			if resource.Version <= highest || resource.Version.TokenSpace() != space+1 || resource.Version >= s.Version || seen[resource.Version] {
 				t.Fatalf("%s: found %v of a store at %v, wanted one of its own above %v", service, resource.Version, s.Version, highest)
 			}
 			if string(resource.Settings) != string(before.Resources[service].Settings) || before.Resources[service].Version > highest {
@@ -254,29 +254,29 @@
 func TestStoreCopy(t *testing.T) {
 	s := storeOf(t)
 	before := string(mustMarshal(t, s))
-	c := s.Copy()
+	c := s.Clone()
 	mustApply(t, c, 1, put("x", "a", -1))
 	mustApply(t, c, 1, put("y", "new", 0))
-	c.BeginSpace(2)
+	c.StartTokenSpace(2)
 	if after := string(mustMarshal(t, s)); after != before {
 		t.Errorf("found %s, wanted %s", after, before)
 	}
-	for i := range maxRemembered {
+	for i := range maxRecentChanges {
 		mustApply(t, s, 1, put(fmt.Sprint("n", i), "a", -1))
 	}
-	oldest := s.Remembered[0].ID
-	mustApply(t, s.Copy(), 1, put("z", "a", -1))
-	if s.Remembered[0].ID != oldest {
-		t.Errorf("found %q as the oldest remembered, wanted %q", s.Remembered[0].ID, oldest)
+	oldest := s.RecentChanges[0].ID
+	mustApply(t, s.Clone(), 1, put("z", "a", -1))
+	if s.RecentChanges[0].ID != oldest {
+		t.Errorf("found %q as the oldest remembered, wanted %q", s.RecentChanges[0].ID, oldest)
 	}
-	if empty := new(Store).Copy(); empty.Version != 0 || empty.Resources != nil {
+	if empty := new(Store).Clone(); empty.Version != 0 || empty.Resources != nil {
 		t.Errorf("found %+v, wanted an empty copy", empty)
 	}
 }
 
 func TestChangeCheck(t *testing.T) {
 	good := put("x", "a", 0)
-	if err := good.Check(); err != nil {
+	if err := good.Validate(); err != nil {
 		t.Error(err)
 	}
 	for text, spoil := range map[string]func(*Change){
@@ -286,6 +286,6 @@
 	} {
 		c := good
 		spoil(&c)
-		oneLine(t, c.Check(), text, "found", "wanted")
+		oneLine(t, c.Validate(), text, "found", "wanted")
 	}
 }
--- a/internal/fleet/configuration/subscriber_test.go
+++ b/internal/fleet/configuration/subscriber_test.go
@@ -10,52 +10,52 @@
 
 // decider returns a subscriber of the default times.
 func decider(relays int, seed uint64) *Subscriber {
-	return NewSubscriber(DefaultSubscriber(relays), rand.New(rand.NewPCG(seed, 0)))
+	return NewSubscriber(DefaultSubscriberSettings(relays), rand.New(rand.NewPCG(seed, 0)))
 }
 
 // fresh is an answer that brings a version and no resource.
-func fresh(version Version) *PollAnswer {
-	return &PollAnswer{Update: &Update{Version: version}}
+func fresh(version Version) *PollResponse {
+	return &PollResponse{Update: &Update{Version: version}}
 }
 
-func staleAnswer(version Version) *PollAnswer {
-	return &PollAnswer{AgeMS: 60000, Update: &Update{Version: version}}
+func staleAnswer(version Version) *PollResponse {
+	return &PollResponse{AgeMS: 60000, Update: &Update{Version: version}}
 }
 
-func refusal(r Refusal) *PollAnswer { return &PollAnswer{Refusal: r} }
+func refusal(r ErrorCode) *PollResponse { return &PollResponse{ErrorCode: r} }
 
 // settleAt brings a new subscriber to a relay by failures of those before it.
 func settleAt(t *testing.T, relays, relay int) (*Subscriber, time.Duration) {
 	t.Helper()
 	s, now := decider(relays, 1), time.Second
 	for range relay {
-		s.Next(now)
-		s.Failed(now)
+		s.NextPoll(now)
+		s.HandleFailure(now)
 	}
-	if next := s.Next(now); next.Relay != relay || next.At != now || next.Wait != 0 {
+	if next := s.NextPoll(now); next.Relay != relay || next.Due != now || next.Wait != 0 {
 		t.Fatalf("found %+v, wanted relay %d at once", next, relay)
 	}
 	mustAnswer(t, s, now, fresh(v(1, 1)))
 	return s, now
 }
 
-func mustAnswer(t *testing.T, s *Subscriber, now time.Duration, answer *PollAnswer) {
+func mustAnswer(t *testing.T, s *Subscriber, now time.Duration, answer *PollResponse) {
 	t.Helper()
-	if _, err := s.Answered(now, answer); err != nil {
+	if _, err := s.HandleResponse(now, answer); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestSubscriberAsksTheNearestFirstAndThenWaits(t *testing.T) {
-	s, settings := decider(3, 1), DefaultSubscriber(3)
-	first := s.Next(0)
-	if first.Relay != 0 || first.At != 0 || first.Wait != 0 || first.Timeout != settings.Timeout {
+	s, settings := decider(3, 1), DefaultSubscriberSettings(3)
+	first := s.NextPoll(0)
+	if first.Relay != 0 || first.Due != 0 || first.Wait != 0 || first.Timeout != settings.ResponseTimeout {
 		t.Fatalf("found %+v, wanted relay 0 at once without a wait", first)
 	}
 	mustAnswer(t, s, 0, fresh(v(1, 1)))
 	for now := time.Duration(0); now < time.Minute; now += time.Second {
-		next := s.Next(now)
-		if next.Relay != 0 || next.Wait < settings.Wait*3/4 || next.Wait > settings.Wait || next.Timeout != next.Wait+settings.Timeout {
+		next := s.NextPoll(now)
+		if next.Relay != 0 || next.Wait < settings.PollWait*3/4 || next.Wait > settings.PollWait || next.Timeout != next.Wait+settings.ResponseTimeout {
 			t.Fatalf("found %+v, wanted a long poll of relay 0", next)
 		}
 		mustAnswer(t, s, now, fresh(v(1, 1)))
@@ -68,7 +68,7 @@
 	for seed := range uint64(100) {
 		s := decider(2, seed)
 		mustAnswer(t, s, 0, fresh(v(1, 1)))
-		waits[s.Next(0).Wait.Truncate(10*time.Millisecond)] = true
+		waits[s.NextPoll(0).Wait.Truncate(10*time.Millisecond)] = true
 	}
 	if len(waits) < 20 {
 		t.Errorf("found %d different waits of 100, wanted 20 or more", len(waits))
@@ -76,32 +76,32 @@
 }
 
 func TestSubscriberMovesAtOnceAndPausesAfterARound(t *testing.T) {
-	for _, answer := range []*PollAnswer{nil, refusal(RefusalDraining), refusal(RefusalBehind), refusal(RefusalNotReady), refusal(RefusalFull),
-		refusal(RefusalRegion), refusal(RefusalInvalid), refusal("unheard of"), {}} {
+	for _, answer := range []*PollResponse{nil, refusal(CodeDraining), refusal(CodeBehind), refusal(CodeNotReady), refusal(CodeFull),
+		refusal(CodeWrongRegion), refusal(CodeInvalid), refusal("unheard of"), {}} {
 		s, now := decider(3, 7), time.Second
-		fail := func() Next {
+		fail := func() NextPoll {
 			if answer == nil {
-				s.Failed(now)
+				s.HandleFailure(now)
 			} else {
 				mustAnswer(t, s, now, answer)
 			}
-			return s.Next(now)
+			return s.NextPoll(now)
 		}
 		for relay := range 2 {
-			if next := fail(); next.Relay != relay+1 || next.At != now {
+			if next := fail(); next.Relay != relay+1 || next.Due != now {
 				t.Fatalf("%+v: found %+v, wanted relay %d at once", answer, next, relay+1)
 			}
 		}
-		settings := DefaultSubscriber(3)
+		settings := DefaultSubscriberSettings(3)
 		for round := range 20 {
 			next := fail()
-			mean := min(settings.RetryLeast<<min(round, 10), settings.RetryMost)
-			if pause := next.At - now; next.Relay != 0 || pause < mean/2 || pause > max(mean*3/2, 3*pollInterval) {
+			mean := min(settings.RetryMin<<min(round, 10), settings.RetryMax)
+			if pause := next.Due - now; next.Relay != 0 || pause < mean/2 || pause > max(mean*3/2, 3*pollInterval) {
 				t.Fatalf("%+v: round %d: found %+v, wanted relay 0 after about %v", answer, round, next, mean)
 			}
-			now = next.At
+			now = next.Due
 			for range 2 {
-				now = max(now, fail().At)
+				now = max(now, fail().Due)
 			}
 		}
 	}
@@ -113,9 +113,9 @@
 	for seed := range uint64(200) {
 		s := decider(2, seed)
 		for range 2 * 5 {
-			s.Failed(0)
+			s.HandleFailure(0)
 		}
-		at = append(at, s.Next(0).At)
+		at = append(at, s.NextPoll(0).Due)
 	}
 	if low, high := slices.Min(at), slices.Max(at); high-low < 800*time.Millisecond {
 		t.Errorf("found all within %v to %v, wanted a spread of 0.8 s or more", low, high)
@@ -136,8 +136,8 @@
 	}
 	for _, c := range cases {
 		s := decider(2, 3)
-		mustAnswer(t, s, time.Second, &PollAnswer{Refusal: RefusalBusy, RetryMS: c.retry})
-		if next := s.Next(time.Second); next.Relay != 0 || next.At < time.Second+c.least || next.At > time.Second+c.most {
+		mustAnswer(t, s, time.Second, &PollResponse{ErrorCode: CodeBusy, RetryAfterMS: c.retry})
+		if next := s.NextPoll(time.Second); next.Relay != 0 || next.Due < time.Second+c.least || next.Due > time.Second+c.most {
 			t.Errorf("retry_ms %d: found %+v, wanted relay 0 within %v to %v", c.retry, next, c.least, c.most)
 		}
 	}
@@ -146,20 +146,20 @@
 // A relay that is busy for ever does not hold its subscribers for ever.
 func TestBusyForEver(t *testing.T) {
 	s, now := decider(2, 3), time.Duration(0)
-	for range maxBusy {
-		mustAnswer(t, s, now, &PollAnswer{Refusal: RefusalBusy, RetryMS: 100})
-		next := s.Next(now)
+	for range maxBusyResponses {
+		mustAnswer(t, s, now, &PollResponse{ErrorCode: CodeBusy, RetryAfterMS: 100})
+		next := s.NextPoll(now)
 		if next.Relay != 0 {
 			t.Fatalf("found %+v, wanted relay 0 to be waited for", next)
 		}
-		now = next.At
+		now = next.Due
 	}
-	mustAnswer(t, s, now, &PollAnswer{Refusal: RefusalBusy, RetryMS: 100})
-	if next := s.Next(now); next.Relay != 1 {
+	mustAnswer(t, s, now, &PollResponse{ErrorCode: CodeBusy, RetryAfterMS: 100})
+	if next := s.NextPoll(now); next.Relay != 1 {
 		t.Errorf("found %+v, wanted relay 1", next)
 	}
-	mustAnswer(t, s, now, &PollAnswer{Refusal: RefusalBusy, RetryMS: 100})
-	if next := s.Next(now); next.Relay != 1 {
+	mustAnswer(t, s, now, &PollResponse{ErrorCode: CodeBusy, RetryAfterMS: 100})
+	if next := s.NextPoll(now); next.Relay != 1 {
 		t.Errorf("found %+v, wanted the next relay to be waited for as long", next)
 	}
 }
@@ -169,10 +169,10 @@
 	s, now := decider(3, 1), time.Duration(0)
 	for range 20 {
 		now += 2 * time.Second
-		s.Next(now)
-		s.Failed(now)
-		if next := s.Next(now); next.At != now {
-			t.Fatalf("found a pause of %v, wanted the next relay at once", next.At-now)
+		s.NextPoll(now)
+		s.HandleFailure(now)
+		if next := s.NextPoll(now); next.Due != now {
+			t.Fatalf("found a pause of %v, wanted the next relay at once", next.Due-now)
 		}
 		mustAnswer(t, s, now, fresh(v(1, 1)))
 	}
@@ -182,19 +182,19 @@
 func TestFirstProbeAfterAMoveIsTheNearest(t *testing.T) {
 	s, now := settleAt(t, 4, 2)
 	probe := func() int {
-		for home := s.relay; s.Next(now).Relay == home; {
-			now += s.Next(now).Wait
+		for home := s.relay; s.NextPoll(now).Relay == home; {
+			now += s.NextPoll(now).Wait
 			mustAnswer(t, s, now, fresh(v(1, 1)))
 		}
 		probed := s.relay
-		s.Failed(now)
+		s.HandleFailure(now)
 		return probed
 	}
 	if probed := probe(); probed != 0 {
 		t.Fatalf("found a probe of relay %d, wanted 0", probed)
 	}
-	s.Next(now)
-	s.Failed(now)
+	s.NextPoll(now)
+	s.HandleFailure(now)
 	mustAnswer(t, s, now, fresh(v(1, 1)))
 	if s.relay != 3 {
 		t.Fatalf("found relay %d, wanted 3", s.relay)
@@ -207,20 +207,20 @@
 // Whatever relays answer, and however soon, a subscriber's polls are bounded.
 func TestPollRateIsBounded(t *testing.T) {
 	version := uint32(1)
-	answers := map[string]func(*Subscriber) *PollAnswer{
-		"empty at once":   func(*Subscriber) *PollAnswer { return fresh(v(1, 1)) },
-		"stale at once":   func(*Subscriber) *PollAnswer { return staleAnswer(v(1, 1)) },
-		"older":           func(*Subscriber) *PollAnswer { return fresh(v(0, 1)) },
-		"draining":        func(*Subscriber) *PollAnswer { return refusal(RefusalDraining) },
-		"busy, retry now": func(*Subscriber) *PollAnswer { return &PollAnswer{Refusal: RefusalBusy, RetryMS: 1} },
-		"no end of news":  func(*Subscriber) *PollAnswer { version++; return fresh(v(1, version)) },
-		"only the first poll of a relay is answered": func(s *Subscriber) *PollAnswer {
+	answers := map[string]func(*Subscriber) *PollResponse{
+		"empty at once":   func(*Subscriber) *PollResponse { return fresh(v(1, 1)) },
+		"stale at once":   func(*Subscriber) *PollResponse { return staleAnswer(v(1, 1)) },
+		"older":           func(*Subscriber) *PollResponse { return fresh(v(0, 1)) },
+		"draining":        func(*Subscriber) *PollResponse { return refusal(CodeDraining) },
+		"busy, retry now": func(*Subscriber) *PollResponse { return &PollResponse{ErrorCode: CodeBusy, RetryAfterMS: 1} },
+		"no end of news":  func(*Subscriber) *PollResponse { version++; return fresh(v(1, version)) },
+		"only the first poll of a relay is answered": func(s *Subscriber) *PollResponse {
 			if s.settled {
-				return refusal(RefusalInvalid)
+				return refusal(CodeInvalid)
 			}
 			return fresh(v(1, 1))
 		},
-		"good and stale by turns": func(s *Subscriber) *PollAnswer {
+		"good and stale by turns": func(s *Subscriber) *PollResponse {
 			if version++; version%2 == 0 {
 				return fresh(v(1, 1))
 			}
@@ -231,12 +231,12 @@
 		for relays := 1; relays <= 4; relays++ {
 			s, now, polls := decider(relays, 5), time.Duration(0), 0
 			for now < time.Minute {
-				next := s.Next(now)
-				if next.At < now || next.Wait < 0 || next.Timeout < next.Wait || next.Relay < 0 || next.Relay >= relays {
+				next := s.NextPoll(now)
+				if next.Due < now || next.Wait < 0 || next.Timeout < next.Wait || next.Relay < 0 || next.Relay >= relays {
 					t.Fatalf("%s: found %+v at %v", name, next, now)
 				}
-				now = next.At
-				_, _ = s.Answered(now, answer(s))
+				now = next.Due
+				_, _ = s.HandleResponse(now, answer(s))
 				polls++
 			}
 			if most := pollBurst + 1 + int(time.Minute/pollInterval); polls > most {
@@ -249,14 +249,14 @@
 // A stale relay's update is taken where it is newer than what is held, and its
 // subscriber looks for a better one; an age that makes no sense counts as stale.
 func TestStaleRelayIsLeftWhileAnotherMayKnowBetter(t *testing.T) {
-	for _, answer := range []*PollAnswer{staleAnswer(v(1, 5)), {AgeMS: -1, Update: &Update{Version: v(1, 5)}}} {
+	for _, answer := range []*PollResponse{staleAnswer(v(1, 5)), {AgeMS: -1, Update: &Update{Version: v(1, 5)}}} {
 		s := decider(2, 1)
 		mustAnswer(t, s, 0, answer)
-		if next := s.Next(0); next.Relay != 1 || next.At != 0 || s.Version() != v(1, 5) {
+		if next := s.NextPoll(0); next.Relay != 1 || next.Due != 0 || s.Version() != v(1, 5) {
 			t.Fatalf("found %+v with version %v, wanted relay 1 at once with 1.5", next, s.Version())
 		}
 		mustAnswer(t, s, 0, fresh(v(1, 6)))
-		if next := s.Next(0); next.Relay != 1 || next.Wait == 0 {
+		if next := s.NextPoll(0); next.Relay != 1 || next.Wait == 0 {
 			t.Errorf("found %+v, wanted to stay at relay 1", next)
 		}
 	}
@@ -269,8 +269,8 @@
 	waited := map[int]int{}
 	polls := 0
 	for now < 5*time.Minute {
-		next := s.Next(now)
-		now = next.At + next.Wait
+		next := s.NextPoll(now)
+		now = next.Due + next.Wait
 		if now > 5*time.Second && next.Wait > 0 {
 			waited[next.Relay]++
 		}
@@ -280,7 +280,7 @@
 	if len(waited) != 1 {
 		t.Errorf("found long polls at relays %v, wanted one relay", waited)
 	}
-	if most := 10 + 2*int(5*time.Minute/DefaultSubscriber(3).Wait*4/3); polls > most {
+	if most := 10 + 2*int(5*time.Minute/DefaultSubscriberSettings(3).PollWait*4/3); polls > most {
 		t.Errorf("found %d polls in 5 minutes, wanted %d at most", polls, most)
 	}
 }
@@ -289,16 +289,16 @@
 // nearer one at once.
 func TestFreshAgainIsNoReasonToProbe(t *testing.T) {
 	s, now := decider(2, 1), time.Second
-	s.Failed(now)
-	s.Failed(now)
-	s.Failed(now)
+	s.HandleFailure(now)
+	s.HandleFailure(now)
+	s.HandleFailure(now)
 	mustAnswer(t, s, now, staleAnswer(v(1, 1)))
-	if next := s.Next(now); next.Relay != 1 || next.Wait == 0 {
+	if next := s.NextPoll(now); next.Relay != 1 || next.Wait == 0 {
 		t.Fatalf("found %+v, wanted to stay at relay 1, which is stale", next)
 	}
 	mustAnswer(t, s, now, fresh(v(1, 1)))
-	for end := now + DefaultSubscriber(2).Return/2; now < end; now += 100 * time.Millisecond {
-		if next := s.Next(now); next.Relay != 1 {
+	for end := now + DefaultSubscriberSettings(2).ProbeInterval/2; now < end; now += 100 * time.Millisecond {
+		if next := s.NextPoll(now); next.Relay != 1 {
 			t.Fatalf("found a probe of relay %d at %v, wanted none before %v", next.Relay, now, end)
 		}
 	}
@@ -326,14 +326,14 @@
 func findWhole(t *testing.T, relays, whole int, seed uint64, still bool) time.Duration {
 	s, now, end := decider(relays, seed), time.Duration(0), time.Minute+time.Duration(seed)*31*time.Millisecond
 	for {
-		next := s.Next(now)
-		now = next.At
+		next := s.NextPoll(now)
+		now = next.Due
 		switch {
 		case now >= end && next.Relay == whole:
 			return now - end
 		case still && next.Relay != relays-1:
 			now += next.Timeout
-			s.Failed(now)
+			s.HandleFailure(now)
 		default:
 			now += next.Wait
 			mustAnswer(t, s, now, staleAnswer(v(1, 1)))
@@ -350,12 +350,12 @@
 	if _, known := s.Age(0); known {
 		t.Error("found an age before the first answer")
 	}
-	mustAnswer(t, s, time.Second, &PollAnswer{AgeMS: 100, Update: &Update{Version: v(1, 1)}})
+	mustAnswer(t, s, time.Second, &PollResponse{AgeMS: 100, Update: &Update{Version: v(1, 1)}})
 	mustAnswer(t, s, 2*time.Second, staleAnswer(v(1, 1)))
 	if age, known := s.Age(3 * time.Second); !known || age != 2100*time.Millisecond {
 		t.Errorf("found age %v, %v, wanted 2.1s", age, known)
 	}
-	mustAnswer(t, s, 4*time.Second, &PollAnswer{AgeMS: 50, Update: &Update{Version: v(1, 1)}})
+	mustAnswer(t, s, 4*time.Second, &PollResponse{AgeMS: 50, Update: &Update{Version: v(1, 1)}})
 	if age, _ := s.Age(4 * time.Second); age != 50*time.Millisecond {
 		t.Errorf("found age %v, wanted 50ms", age)
 	}
@@ -366,15 +366,15 @@
 func TestReturnsToNearerRelays(t *testing.T) {
 	bad := map[string]func(*Subscriber, time.Duration) time.Duration{
 		"no answer": func(s *Subscriber, now time.Duration) time.Duration {
-			now += DefaultSubscriber(3).Timeout
-			s.Failed(now)
+			now += DefaultSubscriberSettings(3).ResponseTimeout
+			s.HandleFailure(now)
 			return now
 		},
 	}
-	for name, answer := range map[string]*PollAnswer{"busy": {Refusal: RefusalBusy, RetryMS: 900}, "draining": refusal(RefusalDraining),
-		"not ready": refusal(RefusalNotReady), "behind": refusal(RefusalBehind), "stale": staleAnswer(v(1, 1)), "older": fresh(v(0, 9))} {
+	for name, answer := range map[string]*PollResponse{"busy": {ErrorCode: CodeBusy, RetryAfterMS: 900}, "draining": refusal(CodeDraining),
+		"not ready": refusal(CodeNotReady), "behind": refusal(CodeBehind), "stale": staleAnswer(v(1, 1)), "older": fresh(v(0, 9))} {
 		bad[name] = func(s *Subscriber, now time.Duration) time.Duration {
-			_, _ = s.Answered(now, answer)
+			_, _ = s.HandleResponse(now, answer)
 			return now
 		}
 	}
@@ -383,13 +383,13 @@
 		var probed []int
 		lastHome := now
 		for now < 2*time.Minute {
-			next := s.Next(now)
-			if next.At != now {
+			next := s.NextPoll(now)
+			if next.Due != now {
 				t.Fatalf("%s: found a pause %+v at %v", name, next, now)
 			}
 			if next.Relay == 2 {
 				now += next.Wait
-				if gap := now - lastHome; gap > DefaultSubscriber(3).Wait {
+				if gap := now - lastHome; gap > DefaultSubscriberSettings(3).PollWait {
 					t.Fatalf("%s: found %v without the relay that works", name, gap)
 				}
 				lastHome = now
@@ -401,7 +401,7 @@
 			}
 			probed = append(probed, next.Relay)
 			now = end(s, now)
-			if back := s.Next(now); back.Relay != 2 {
+			if back := s.NextPoll(now); back.Relay != 2 {
 				t.Fatalf("%s: found %+v after a probe, wanted relay 2", name, back)
 			}
 		}
@@ -413,16 +413,16 @@
 
 func TestStaysAtANearerRelayThatIsGood(t *testing.T) {
 	s, now := settleAt(t, 3, 2)
-	for s.Next(now).Relay == 2 {
-		now += s.Next(now).Wait
+	for s.NextPoll(now).Relay == 2 {
+		now += s.NextPoll(now).Wait
 		mustAnswer(t, s, now, fresh(v(1, 1)))
 	}
 	for range 100 {
-		next := s.Next(now)
+		next := s.NextPoll(now)
 		if next.Relay != 0 {
 			t.Fatalf("found %+v, wanted relay 0", next)
 		}
-		now = next.At + next.Wait
+		now = next.Due + next.Wait
 		mustAnswer(t, s, now, fresh(v(1, 1)))
 	}
 }
@@ -432,9 +432,9 @@
 	var at []time.Duration
 	for seed := range uint64(200) {
 		s, now := decider(2, seed), time.Duration(0)
-		s.Failed(now)
+		s.HandleFailure(now)
 		mustAnswer(t, s, now, fresh(v(1, 1)))
-		for s.Next(now).Relay == 1 {
+		for s.NextPoll(now).Relay == 1 {
 			now += 10 * time.Millisecond
 		}
 		at = append(at, now)
@@ -508,7 +508,7 @@
 }
 
 // The worst of all: a relay is cut off and stands still just before that is noticed,
-// and the next one stands still too. It is what StaleAge is drawn from.
+// and the next one stands still too. It is what StaleAfter is drawn from.
 func TestInForceWithinFourSecondsOfTwoFaultsOfOneRelay(t *testing.T) {
 	worst := time.Duration(0)
 	for phase := time.Duration(0); phase < 1600*time.Millisecond; phase += 50 * time.Millisecond {
@@ -565,16 +565,16 @@
 // its way is free again after the lease.
 func TestHalfOpenConnection(t *testing.T) {
 	w := newWorld(1, 2, []Subscription{{"a"}})
-	w.admission.Places = 1
+	w.admission.Slots = 1
 	w.run(time.Second)
 	w.change("a")
 	w.loss = 1
 	w.subscribers[0].restart(0)
-	w.run(DefaultSubscriber(2).Timeout + 50*time.Millisecond)
+	w.run(DefaultSubscriberSettings(2).ResponseTimeout + 50*time.Millisecond)
 	if s := w.subscribers[0]; s.relay != 1 {
 		t.Errorf("found relay %d asked, wanted 1 after the timeout", s.relay)
 	}
-	admission := NewAdmission(AdmissionSettings{Places: 1, Lease: time.Second, RetryLeast: time.Millisecond, RetryMost: time.Second})
+	admission := NewAdmission(AdmissionSettings{Slots: 1, SlotTimeout: time.Second, RetryMin: time.Millisecond, RetryMax: time.Second})
 	if admitted, _ := admission.Admit(0, "half-open", false, 0); !admitted {
 		t.Fatal("found no place free at first")
 	}
--- a/internal/fleet/configuration/version.go
+++ b/internal/fleet/configuration/version.go
@@ -27,14 +27,14 @@
 // NewVersion returns the version of a change: its number within an epoch space.
 func NewVersion(space, number uint32) Version { return Version(space)<<32 | Version(number) }
 
-// Space returns the epoch space.
-func (v Version) Space() uint32 { return uint32(v >> 32) }
+// TokenSpace returns the epoch space.
+func (v Version) TokenSpace() uint32 { return uint32(v >> 32) }
 
 // Number returns the number within the epoch space.
 func (v Version) Number() uint32 { return uint32(v) }
 
 // String writes a version as SPACE.NUMBER.
-func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Space(), v.Number()) }
+func (v Version) String() string { return fmt.Sprintf("%d.%d", v.TokenSpace(), v.Number()) }
 
 // ParseVersion reads what String writes; "0" is no version.
 func ParseVersion(text string) (Version, error) {
--- a/internal/fleet/configuration/world_test.go
+++ b/internal/fleet/configuration/world_test.go
@@ -117,7 +117,7 @@
 	w := &world{
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		council:  worldCouncil{store: &Store{}, space: 1},
-		settings: DefaultSubscriber(relays), admission: DefaultAdmission,
+		settings: DefaultSubscriberSettings(relays), admission: DefaultAdmissionSettings,
 		latest: 10 * time.Millisecond, given: map[resourceVersion]string{},
 	}
 	for i := range relays {
@@ -177,7 +177,7 @@
 	if c.store.Resources[change.Service] == nil {
 		change.IfVersion = new(Version)
 	}
-	if err := change.Check(); err != nil {
+	if err := change.Validate(); err != nil {
 		w.fail("%v", err)
 	}
 	before := c.store.Version
@@ -210,9 +210,9 @@
 	if w.council.saved == nil {
 		return
 	}
-	w.council.store = w.council.saved.Copy()
+	w.council.store = w.council.saved.Clone()
 	w.council.space++
-	w.council.store.BeginSpace(w.council.space)
+	w.council.store.StartTokenSpace(w.council.space)
 	w.council.ids += 1000
 	w.giveOut()
 }
@@ -312,11 +312,11 @@
 		if r.cut || w.council.silent {
 			return
 		}
-		update := w.council.store.Since(version)
+		update := w.council.store.UpdateSince(version)
 		asked := w.now
 		r.do(w.latency(), func() { r.take(asked, update); again() })
 		if w.rng.Float64() < w.duplicate { // an answer of an earlier poll that was late
-			r.do(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() { _, _ = r.cache.Take(update) })
+			r.do(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() { _, _ = r.cache.Apply(update) })
 		}
 	}
 	w.after(w.latency(), func() {
@@ -338,7 +338,7 @@
 
 func (r *worldRelay) take(asked time.Duration, update Update) {
 	before := r.cache.Version()
-	_, err := r.cache.Take(update)
+	_, err := r.cache.Apply(update)
 	if r.cache.Version() < before {
 		r.world.fail("relay %d went back from %v to %v", r.index, before, r.cache.Version())
 	}
@@ -352,56 +352,56 @@
 }
 
 // serve answers a poll, perhaps later.
-func (r *worldRelay) serve(poll Poll, reply func(PollAnswer)) {
+func (r *worldRelay) serve(poll Poll, reply func(PollResponse)) {
 	w := r.world
-	if err := poll.Check(); err != nil {
+	if err := poll.Validate(); err != nil {
 		w.fail("%v", err)
 	}
 	r.polls++
-	if r.cache.Version() == poll.Version || poll.Version != 0 && poll.Version.Space() == r.cache.Version().Space() {
-		r.admission.Done(poll.Subscriber)
+	if r.cache.Version() == poll.Version || poll.Version != 0 && poll.Version.TokenSpace() == r.cache.Version().TokenSpace() {
+		r.admission.Release(poll.Subscriber)
 	}
-	r.registry.Heard(w.now, &poll)
-	refuse := func(refusal Refusal, retry time.Duration) {
-		reply(PollAnswer{AgeMS: (w.now - r.heard).Milliseconds(), Refusal: refusal, RetryMS: retry.Milliseconds()})
+	r.registry.Record(w.now, &poll)
+	refuse := func(refusal ErrorCode, retry time.Duration) {
+		reply(PollResponse{AgeMS: (w.now - r.heard).Milliseconds(), ErrorCode: refusal, RetryAfterMS: retry.Milliseconds()})
 	}
 	switch {
 	case r.draining:
-		refuse(RefusalDraining, 0)
+		refuse(CodeDraining, 0)
 		return
 	case !r.ready:
-		refuse(RefusalNotReady, 0)
+		refuse(CodeNotReady, 0)
 		return
 	case poll.Version > r.cache.Version():
-		refuse(RefusalBehind, 0)
+		refuse(CodeBehind, 0)
 		return
 	}
 	number, answered := r.polls, false
 	respond := func(timeout bool) {
-		update := r.cache.Since(poll.Version, poll.Services)
-		snapshot := update.Snapshot() && update.Version != 0
+		update := r.cache.UpdateSince(poll.Version, poll.Services)
+		snapshot := update.IsSnapshot() && update.Version != 0
 		if answered || !timeout && len(update.Resources) == 0 && !snapshot && !r.draining {
 			return
 		}
 		answered = true
 		delete(r.parked, number)
 		if r.draining {
-			refuse(RefusalDraining, 0)
+			refuse(CodeDraining, 0)
 			return
 		}
 		if snapshot {
 			again := r.refused[poll.Subscriber]
 			admitted, retry := r.admission.Admit(w.now, poll.Subscriber, again, w.rng.Float64())
 			r.refused[poll.Subscriber] = !admitted
-			if under := r.admission.UnderWay(w.now); under > w.admission.Places {
-				w.fail("relay %d: %d snapshots under way, wanted %d at most", r.index, under, w.admission.Places)
+			if under := r.admission.InFlight(w.now); under > w.admission.Slots {
+				w.fail("relay %d: %d snapshots under way, wanted %d at most", r.index, under, w.admission.Slots)
 			}
 			if !admitted {
-				refuse(RefusalBusy, retry)
+				refuse(CodeBusy, retry)
 				return
 			}
 		}
-		reply(PollAnswer{AgeMS: (w.now - r.heard).Milliseconds(), Update: &update})
+		reply(PollResponse{AgeMS: (w.now - r.heard).Milliseconds(), Update: &update})
 	}
 	r.parked[number] = func() { respond(false) }
 	r.do(poll.Wait(), func() { respond(true) })
@@ -438,11 +438,11 @@
 }
 
 func (s *worldSubscriber) ask() {
-	next := s.decider.Next(s.world.now)
-	s.during(next.At-s.world.now, func() { s.send(next) })
+	next := s.decider.NextPoll(s.world.now)
+	s.during(next.Due-s.world.now, func() { s.send(next) })
 }
 
-func (s *worldSubscriber) send(next Next) {
+func (s *worldSubscriber) send(next NextPoll) {
 	w := s.world
 	s.poll++
 	s.underWay = true
@@ -460,7 +460,7 @@
 		return
 	}
 	relay.do(w.latency(), func() {
-		relay.serve(poll, func(answer PollAnswer) {
+		relay.serve(poll, func(answer PollResponse) {
 			if w.rng.Float64() >= w.loss {
 				s.during(w.latency(), func() { s.answered(number, &answer) })
 			}
@@ -476,11 +476,11 @@
 		return
 	}
 	s.underWay = false
-	s.decider.Failed(s.world.now)
+	s.decider.HandleFailure(s.world.now)
 	s.ask()
 }
 
-func (s *worldSubscriber) answered(number int, answer *PollAnswer) {
+func (s *worldSubscriber) answered(number int, answer *PollResponse) {
 	if number != s.poll || !s.underWay {
 		return // a late answer: its poll was given up
 	}
@@ -488,21 +488,21 @@
 	if answer.Update != nil {
 		s.received += len(answer.Update.Resources)
 	}
-	taken, _ := s.decider.Answered(s.world.now, answer)
+	taken, _ := s.decider.HandleResponse(s.world.now, answer)
 	s.check(taken)
 	s.ask()
 }
 
 // takeLate takes the update of an answer whose poll was given up.
-func (s *worldSubscriber) takeLate(answer *PollAnswer) {
+func (s *worldSubscriber) takeLate(answer *PollResponse) {
 	if answer.Update != nil {
-		taken, _ := s.decider.Cache().Take(*answer.Update)
+		taken, _ := s.decider.Cache().Apply(*answer.Update)
 		s.check(taken)
 	}
 }
 
-// check holds what was taken against the invariants.
-func (s *worldSubscriber) check(taken Taken) {
+// validate holds what was taken against the invariants.
+func (s *worldSubscriber) check(taken Changes) {
 	w := s.world
 	if s.decider.Version() < s.version {
 		w.fail("%s went back from %v to %v", s.name, s.version, s.decider.Version())
@@ -511,7 +511,7 @@
 	for _, service := range taken.Removed {
 		delete(s.versions, service)
 	}
-	for _, resource := range taken.Changed {
+	for _, resource := range taken.Updated {
 		if resource.Version <= s.versions[resource.Service] {
 			w.fail("%s: %s went from %v to %v", s.name, resource.Service, s.versions[resource.Service], resource.Version)
 		}
--- a/internal/fleet/council/configure.go
+++ b/internal/fleet/council/configure.go
@@ -14,7 +14,7 @@
 // NewConfigure returns the command that asks for a change, or why no council can
 // agree on it, whatever its configuration holds.
 func NewConfigure(change configuration.Change) (Command, error) {
-	if err := change.Check(); err != nil {
+	if err := change.Validate(); err != nil {
 		return Command{}, err
 	}
 	data, err := json.Marshal(change)
@@ -36,7 +36,7 @@
 // TryConfigure returns what a command of kind Configure would come to now. The state
 // stays as it is.
 func (s *State) TryConfigure(c Command) Result {
-	trial := State{Space: s.Space, Configuration: s.Configured().Copy()}
+	trial := State{Space: s.Space, Configuration: s.Configured().Clone()}
 	return trial.applyConfigure(c)
 }
 
@@ -73,6 +73,6 @@
 	}
 	s.Space = space
 	if s.Configuration != nil { // members of version 1 have none, and come to the same
-		s.Configuration.BeginSpace(space)
+		s.Configuration.StartTokenSpace(space)
 	}
 }
--- a/internal/fleet/council/configure_sim_test.go
+++ b/internal/fleet/council/configure_sim_test.go
@@ -250,14 +250,14 @@
 	}
 }
 
-// check holds a member's state against what anybody was told.
+// validate holds a member's state against what anybody was told.
 func (s *configureSim) check(m *simMember) {
 	store := m.m.State().Configured()
 	if store.Version < s.newest {
 		s.fail("member %d has version %v, wanted %v at least", m.id, store.Version, s.newest)
 	}
 	seen := map[string]configuration.Version{}
-	for _, remembered := range store.Remembered {
+	for _, remembered := range store.RecentChanges {
 		if was, twice := seen[remembered.ID]; twice {
 			s.fail("change %s was applied twice: as %v and as %v", remembered.ID, was, remembered.Version)
 		}
--- a/internal/fleet/council/configure_test.go
+++ b/internal/fleet/council/configure_test.go
@@ -251,7 +251,7 @@
 				t.Errorf("%s: version %v, wanted one newer than %v", name, resource.Version, lost)
 			}
 		}
-		if update := store.Since(lost); !update.Snapshot() || len(update.Resources) != services {
+		if update := store.UpdateSince(lost); !update.IsSnapshot() || len(update.Resources) != services {
 			t.Errorf("since %v: %+v, wanted a snapshot", lost, update)
 		}
 	}
@@ -268,11 +268,11 @@
 	}
 	first := configured(t, s, create("a", "mail", json.RawMessage(`{}`))).Version
 	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 2<<32 + 9})
-	if got := s.Configured().Version; got != first || first.Space() != 2 {
+	if got := s.Configured().Version; got != first || first.TokenSpace() != 2 {
 		t.Errorf("after a raise within the space: version %v, wanted %v", got, first)
 	}
 	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 7<<32 + 9})
-	if got := s.Configured().Resources["mail"].Version; got.Space() != 7 {
+	if got := s.Configured().Resources["mail"].Version; got.TokenSpace() != 7 {
 		t.Errorf("after a raise of the space: version %v, wanted one of space 7", got)
 	}
 }
@@ -308,7 +308,7 @@
 		taken(configured(t, s, create(wide(i), wide(i), json.RawMessage(`{}`))))
 	}
 	const remembered = 4096
-	settings := settingsOf(configuration.MaxTotalBytes / configuration.MaxServices)
+	settings := settingsOf(configuration.MaxTotalSettingsBytes / configuration.MaxServices)
 	for i := range remembered {
 		change := configuration.Change{ID: wide(1000 + i), Service: wide(i % configuration.MaxServices), Settings: json.RawMessage(`{}`)}
 		if i >= remembered-configuration.MaxServices { // large ones take their time
@@ -318,15 +318,15 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.Configuration.Remembered); n != remembered {
+	if n := len(s.Configuration.RecentChanges); n != remembered {
 		t.Errorf("%d changes are remembered, wanted %d", n, remembered)
 	}
 	total := 0
 	for _, resource := range s.Configuration.Resources {
 		total += len(resource.Settings)
 	}
-	if total < configuration.MaxTotalBytes*95/100 {
-		t.Errorf("%d bytes of settings, wanted about %d", total, configuration.MaxTotalBytes)
+	if total < configuration.MaxTotalSettingsBytes*95/100 {
+		t.Errorf("%d bytes of settings, wanted about %d", total, configuration.MaxTotalSettingsBytes)
 	}
 	data, err := Seal(s)
 	if err != nil {
@@ -395,7 +395,7 @@
 		b.Run(name, func(b *testing.B) {
 			defer reportCPU(b)()
 			for b.Loop() {
-				if update := s.Configured().Since(from); len(update.Resources) == 0 {
+				if update := s.Configured().UpdateSince(from); len(update.Resources) == 0 {
 					b.Fatal("found no news")
 				}
 			}
--- a/internal/fleet/council/node/configuration.go
+++ b/internal/fleet/council/node/configuration.go
@@ -80,7 +80,7 @@
 func (n *Node) followed(q ask.Question, a *ask.Answer, got chan *ask.Answer) {
 	n.member.ReadAnywhere(func(err error) {
 		if n.no(a, err); err == nil {
-			update := n.member.State().Configured().Since(q.Version)
+			update := n.member.State().Configured().UpdateSince(q.Version)
 			a.Update = &update
 		}
 		got <- a
--- a/internal/fleet/council/node/configuration_test.go
+++ b/internal/fleet/council/node/configuration_test.go
@@ -82,7 +82,7 @@
 	held := first.Resource.Version
 	var polls sync.WaitGroup
 	for i := 1; i <= 3; i++ {
-		if u := w.polls(i, 0, 0, updates).Update; !u.Snapshot() || len(u.Resources) != 1 {
+		if u := w.polls(i, 0, 0, updates).Update; !u.IsSnapshot() || len(u.Resources) != 1 {
 			t.Errorf("member %d: %+v, wanted a snapshot of one service", i, u)
 		}
 		if u := w.polls(i, held, 1, updates).Update; len(u.Resources) != 0 || u.Version != held {
@@ -90,7 +90,7 @@
 		}
 		polls.Go(func() {
 			news := func(a *ask.Answer) bool { return a.Update != nil && a.Update.Version > held }
-			if u := w.polls(i, held, 2000, news).Update; u.Snapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
+			if u := w.polls(i, held, 2000, news).Update; u.IsSnapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
 				t.Errorf("member %d: %+v, wanted what is new alone", i, u)
 			}
 		})
--- a/internal/fleet/council/state.go
+++ b/internal/fleet/council/state.go
@@ -35,7 +35,7 @@
 // before is older. 0 is no epoch.
 type Epoch uint64
 
-// Space returns the epoch space.
+// TokenSpace returns the epoch space.
 func (e Epoch) Space() uint32 { return uint32(e >> 32) }
 
 func (e Epoch) String() string { return fmt.Sprintf("%d.%d", e.Space(), uint32(e)) }
@@ -177,7 +177,7 @@
 		for _, d := range s.Duties {
 			d.Owner = ""
 		}
-		s.store().BeginSpace(s.Space)
+		s.store().StartTokenSpace(s.Space)
 		return Result{}
 	case Configure:
 		return s.applyConfigure(c)
@@ -293,7 +293,7 @@
 	return Result{}
 }
 
-// Copy returns a duty of its own.
+// Clone returns a duty of its own.
 func (d *Duty) Copy() *Duty {
 	c := *d
 	c.Changes = slices.Clone(d.Changes)
--- a/internal/fleet/relay/admission.go
+++ b/internal/fleet/relay/admission.go
@@ -18,8 +18,8 @@
 const deferredFor = 10 * time.Second
 
 func newAdmission(places int) *admission {
-	settings := configuration.DefaultAdmission
-	settings.Places = places
+	settings := configuration.DefaultAdmissionSettings
+	settings.Slots = places
 	return &admission{decide: configuration.NewAdmission(settings), deferred: map[string]time.Duration{}}
 }
 
@@ -44,7 +44,7 @@
 // acknowledged takes that a subscriber holds a version of its own: it needs no
 // snapshot any more, whoever sent it.
 func (a *admission) acknowledged(subscriber string) {
-	a.decide.Done(subscriber)
+	a.decide.Release(subscriber)
 	delete(a.deferred, subscriber)
 }
 
--- a/internal/fleet/relay/council_test.go
+++ b/internal/fleet/relay/council_test.go
@@ -225,7 +225,7 @@
 		cut := bootclock.Now()
 		second := c.put(t, settingsB, "a")
 		subscribers.hold(t, second)
-		stale := configuration.DefaultSubscriber(2).StaleAge
+		stale := configuration.DefaultSubscriberSettings(2).StaleAfter
 		await(t, "an age at which subscribers move", func() bool {
 			asked := bootclock.Now()
 			info, _ := near.info()
--- a/internal/fleet/relay/counts.go
+++ b/internal/fleet/relay/counts.go
@@ -43,21 +43,21 @@
 }
 
 // refused counts a refusal.
-func (c *counts) refused(refusal configuration.Refusal) {
+func (c *counts) refused(refusal configuration.ErrorCode) {
 	switch refusal {
-	case configuration.RefusalNotReady:
+	case configuration.CodeNotReady:
 		c.notReady.Add(1)
-	case configuration.RefusalBehind:
+	case configuration.CodeBehind:
 		c.behind.Add(1)
-	case configuration.RefusalBusy:
+	case configuration.CodeBusy:
 		c.busy.Add(1)
-	case configuration.RefusalFull:
+	case configuration.CodeFull:
 		c.full.Add(1)
-	case configuration.RefusalDraining:
+	case configuration.CodeDraining:
 		c.drained.Add(1)
-	case configuration.RefusalRegion:
+	case configuration.CodeWrongRegion:
 		c.foreign.Add(1)
-	case configuration.RefusalInvalid:
+	case configuration.CodeInvalid:
 		c.invalid.Add(1)
 	}
 }
--- a/internal/fleet/relay/encode.go
+++ b/internal/fleet/relay/encode.go
@@ -10,7 +10,7 @@
 
 // encodeAnswer writes an answer as JSON. Settings go out as they came from the
 // council, which has checked them: json.Marshal would read all of them again.
-func encodeAnswer(to *bytes.Buffer, answer *configuration.PollAnswer) error {
+func encodeAnswer(to *bytes.Buffer, answer *configuration.PollResponse) error {
 	envelope := *answer
 	envelope.Update = nil
 	text, err := json.Marshal(&envelope)
--- a/internal/fleet/relay/encode_test.go
+++ b/internal/fleet/relay/encode_test.go
@@ -16,10 +16,10 @@
 		{Service: "a", Version: 1<<32 + 1, Settings: json.RawMessage(settingsA)},
 		{Service: `quo"ted\<&>`, Version: 7, Settings: json.RawMessage(`{}`)},
 	}
-	for _, answer := range []configuration.PollAnswer{
+	for _, answer := range []configuration.PollResponse{
 		{},
-		{Region: "west", AgeMS: 12, Refusal: configuration.RefusalBusy, RetryMS: 50},
-		{Region: "west", Refusal: configuration.RefusalInvalid, Reason: "found \"x\"\n"},
+		{Region: "west", AgeMS: 12, ErrorCode: configuration.CodeBusy, RetryAfterMS: 50},
+		{Region: "west", ErrorCode: configuration.CodeInvalid, Reason: "found \"x\"\n"},
 		{Region: "west", Update: &configuration.Update{}},
 		{Region: "west", Update: &configuration.Update{From: 1<<32 + 5, Version: 1<<32 + 6}},
 		{Region: "west", AgeMS: 3, Update: &configuration.Update{Version: 1<<64 - 1, Resources: resources[:1]}},
--- a/internal/fleet/relay/feed.go
+++ b/internal/fleet/relay/feed.go
@@ -27,7 +27,7 @@
 	known bool // whether one ever was
 }
 
-// age is how long ago a council was heard; 0 where none ever was.
+// measuredAge is how long ago a council was heard; 0 where none ever was.
 func (h hearing) age(now time.Duration) time.Duration {
 	if !h.known {
 		return 0
@@ -50,13 +50,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.cache.Version()
-	taken, err := f.cache.Take(update)
+	taken, err := f.cache.Apply(update)
 	if err != nil {
 		return err
 	}
 	f.heard = hearing{at: max(f.heard.at, sent), known: true}
 	if f.cache.Version() != before {
-		f.wake(taken.Changed, update.Snapshot())
+		f.wake(taken.Updated, update.IsSnapshot())
 	}
 	return nil
 }
@@ -144,9 +144,9 @@
 		f.enter(w, true)
 		return view{stands: behind, heard: f.heard}
 	}
-	seen := view{stands: current, update: f.cache.Since(w.poll.Version, w.poll.Services), heard: f.heard}
+	seen := view{stands: current, update: f.cache.UpdateSince(w.poll.Version, w.poll.Services), heard: f.heard}
 	switch {
-	case held != 0 && seen.update.Snapshot():
+	case held != 0 && seen.update.IsSnapshot():
 		seen.stands = lacksSnapshot
 	case len(seen.update.Resources) > 0:
 		seen.stands = lacksDelta
--- a/internal/fleet/relay/file.go
+++ b/internal/fleet/relay/file.go
@@ -40,7 +40,7 @@
 	f := &File{
 		Path:            path,
 		Connections:     defaultConnections,
-		SnapshotsAtOnce: configuration.DefaultAdmission.Places,
+		SnapshotsAtOnce: configuration.DefaultAdmissionSettings.Slots,
 		Drain:           2 * time.Second,
 		WriteTimeout:    5 * time.Second,
 	}
@@ -59,11 +59,11 @@
 	return f, nil
 }
 
-// check finds what the bounds of single keys don't show.
+// validate finds what the bounds of single keys don't show.
 func (f *File) check() *strictfile.Error {
 	names := []struct{ key, value string }{{"region", f.Region}, {"zone", f.Zone}, {"name", f.Name}}
 	for _, name := range names {
-		if configuration.CheckName(name.key, name.value) != nil {
+		if configuration.ValidateName(name.key, name.value) != nil {
 			wanted := fmt.Sprintf("1 to %d printable bytes without blanks", configuration.MaxNameBytes)
 			return &strictfile.Error{Key: name.key, Found: fmt.Sprintf("%.80q", name.value), Wanted: wanted}
 		}
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -131,7 +131,7 @@
 // council that was restored has a new number, too, and versions of a newer space.
 func (f *follower) checkCouncil(address string, answer *ask.Answer) error {
 	held, _ := f.feed.state()
-	if f.council == "" || answer.Council == f.council || answer.Update.Version.Space() > held.Space() {
+	if f.council == "" || answer.Council == f.council || answer.Update.Version.TokenSpace() > held.TokenSpace() {
 		return nil
 	}
 	return f.foreign(address, answer.Council, f.council)
--- a/internal/fleet/relay/load_test.go
+++ b/internal/fleet/relay/load_test.go
@@ -269,7 +269,7 @@
 // as many subscribers as have places ask for one all the time.
 func BenchmarkLoadSnapshots(b *testing.B) {
 	for range b.N {
-		r := startLoad(b, configuration.DefaultAdmission.Places/2)
+		r := startLoad(b, configuration.DefaultAdmissionSettings.Slots/2)
 		r.poll(nothing)
 		r.settle(b)
 		before, bytesBefore := r.spent(b), r.bytes.Load()
--- a/internal/fleet/relay/poll.go
+++ b/internal/fleet/relay/poll.go
@@ -39,7 +39,7 @@
 	r.counts.polls.Add(1)
 	poll, err := readPoll(w, req)
 	if err != nil {
-		answer := r.refuse(configuration.RefusalInvalid, err.Error())
+		answer := r.refuse(configuration.CodeInvalid, err.Error())
 		r.writeReply(w, http.StatusBadRequest, answer)
 		return
 	}
@@ -73,30 +73,30 @@
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, errors.New("poll: found something behind its end, wanted one object")
 	}
-	return poll, poll.Check()
+	return poll, poll.Validate()
 }
 
 // admitPoll takes note of a poll. It returns a refusal, or nil where the poll may be
 // answered.
 func (r *Relay) admitPoll(poll *configuration.Poll) *reply {
 	if poll.Region != r.file.Region {
-		return r.refuse(configuration.RefusalRegion, fmt.Sprintf("region: found %.80q, wanted %q", poll.Region, r.file.Region))
+		return r.refuse(configuration.CodeWrongRegion, fmt.Sprintf("region: found %.80q, wanted %q", poll.Region, r.file.Region))
 	}
 	if r.isDraining() {
-		return r.refuse(configuration.RefusalDraining, "")
+		return r.refuse(configuration.CodeDraining, "")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.registry.Resolve(poll) {
-		return r.refuse(configuration.RefusalUnknownServices, "")
+	if !r.registry.ResolveDigest(poll) {
+		return r.refuse(configuration.CodeUnknownServices, "")
 	}
-	if !r.registry.Heard(bootclock.Now(), poll) {
-		return r.refuse(configuration.RefusalFull, fmt.Sprintf("found %d subscribers, wanted %d at most", r.registry.Len(), configuration.MaxSubscribers))
+	if !r.registry.Record(bootclock.Now(), poll) {
+		return r.refuse(configuration.CodeFull, fmt.Sprintf("found %d subscribers, wanted %d at most", r.registry.Len(), configuration.MaxSubscribers))
 	}
 	return nil
 }
 
-// waiting is a poll that waits for its answer.
+// expectedRetries is a poll that waits for its answer.
 type waiting struct {
 	waiter
 	start, end   time.Duration // it is answered at the end though there is no news
@@ -115,7 +115,7 @@
 	for {
 		now := bootclock.Now()
 		if draining == nil && now >= wait.end {
-			return r.refuse(configuration.RefusalDraining, "")
+			return r.refuse(configuration.CodeDraining, "")
 		}
 		answer, until := r.decide(wait, now)
 		if answer != nil {
@@ -140,12 +140,12 @@
 	seen := r.feed.look(&wait.waiter)
 	switch seen.stands {
 	case notReady:
-		return r.refuse(configuration.RefusalNotReady, ""), 0
+		return r.refuse(configuration.CodeNotReady, ""), 0
 	case behind:
 		if until := wait.start + catchUpWait; now < until {
 			return nil, until
 		}
-		return r.refuse(configuration.RefusalBehind, ""), 0
+		return r.refuse(configuration.CodeBehind, ""), 0
 	case lacksSnapshot:
 		return r.snapshot(wait.poll, now, seen), 0
 	}
@@ -166,8 +166,8 @@
 	admitted, retry := r.admission.admit(now, poll.Subscriber)
 	r.mu.Unlock()
 	if !admitted {
-		answer := r.refuse(configuration.RefusalBusy, "")
-		answer.RetryMS = retry.Milliseconds()
+		answer := r.refuse(configuration.CodeBusy, "")
+		answer.RetryAfterMS = retry.Milliseconds()
 		return answer
 	}
 	r.counts.snapshots.Add(1)
@@ -182,13 +182,13 @@
 }
 
 func (r *Relay) update(seen view) *reply {
-	return &reply{PollAnswer: configuration.PollAnswer{Region: r.file.Region, Update: &seen.update}, heard: seen.heard}
+	return &reply{PollResponse: configuration.PollResponse{Region: r.file.Region, Update: &seen.update}, heard: seen.heard}
 }
 
-func (r *Relay) refuse(refusal configuration.Refusal, reason string) *reply {
+func (r *Relay) refuse(refusal configuration.ErrorCode, reason string) *reply {
 	r.counts.refused(refusal)
 	_, heard := r.feed.state()
-	return &reply{PollAnswer: configuration.PollAnswer{Region: r.file.Region, Refusal: refusal, Reason: reason}, heard: heard}
+	return &reply{PollResponse: configuration.PollResponse{Region: r.file.Region, ErrorCode: refusal, Reason: reason}, heard: heard}
 }
 
 func (r *Relay) isDraining() bool {
--- a/internal/fleet/relay/process_test.go
+++ b/internal/fleet/relay/process_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// subscriber polls relays as a sidecar does.
+// subscriberState polls relays as a sidecar does.
 type subscriber struct {
 	name     string
 	relays   []string
@@ -159,8 +159,8 @@
 
 // startSubscriber starts a subscriber of relays, the nearest first.
 func startSubscriber(t testing.TB, name string, services configuration.Subscription, relays ...string) *subscriber {
-	s := &subscriber{name: name, relays: relays, services: services, settings: configuration.DefaultSubscriber(len(relays))}
-	s.settings.Return = 500 * time.Millisecond
+	s := &subscriber{name: name, relays: relays, services: services, settings: configuration.DefaultSubscriberSettings(len(relays))}
+	s.settings.ProbeInterval = 500 * time.Millisecond
 	s.begin()
 	t.Cleanup(s.end)
 	return s
@@ -186,23 +186,23 @@
 	defer close(s.done)
 	decide := configuration.NewSubscriber(s.settings, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for ctx.Err() == nil {
-		next := decide.Next(bootclock.Now())
+		next := decide.NextPoll(bootclock.Now())
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(next.At - bootclock.Now()):
+		case <-time.After(next.Due - bootclock.Now()):
 		}
 		s.mu.Lock()
 		s.relay = next.Relay
 		s.mu.Unlock()
 		answer, err := s.poll(ctx, next, decide.Version())
 		if err != nil {
-			decide.Failed(bootclock.Now())
+			decide.HandleFailure(bootclock.Now())
 			continue
 		}
-		taken, _ := decide.Answered(bootclock.Now(), answer)
+		taken, _ := decide.HandleResponse(bootclock.Now(), answer)
 		s.note(decide, taken)
-		if answer.Update != nil && answer.Update.Snapshot() && s.snapshots != nil {
+		if answer.Update != nil && answer.Update.IsSnapshot() && s.snapshots != nil {
 			s.snapshots.begin()
 			s.settle()
 			s.snapshots.now.Add(-1)
@@ -210,7 +210,7 @@
 	}
 }
 
-func (s *subscriber) poll(ctx context.Context, next configuration.Next, version configuration.Version) (*configuration.PollAnswer, error) {
+func (s *subscriber) poll(ctx context.Context, next configuration.NextPoll, version configuration.Version) (*configuration.PollResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, next.Timeout)
 	defer cancel()
 	text, _ := json.Marshal(configuration.Poll{
@@ -225,19 +225,19 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	answer := &configuration.PollAnswer{}
+	answer := &configuration.PollResponse{}
 	return answer, json.NewDecoder(response.Body).Decode(answer)
 }
 
-func (s *subscriber) note(decide *configuration.Subscriber, taken configuration.Taken) {
+func (s *subscriber) note(decide *configuration.Subscriber, taken configuration.Changes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if decide.Version() < s.version {
 		s.back++
 	}
 	s.version = decide.Version()
-	s.received += len(taken.Changed)
-	for _, resource := range taken.Changed {
+	s.received += len(taken.Updated)
+	for _, resource := range taken.Updated {
 		s.settled[resource.Service] = string(resource.Settings)
 	}
 }
@@ -311,7 +311,7 @@
 		// Polls that their senders do not give up while the relay stands still.
 		const latePolls = 20
 		type lateAnswer struct {
-			configuration.PollAnswer
+			configuration.PollResponse
 			received time.Duration
 		}
 		late := make(chan lateAnswer, latePolls)
@@ -334,7 +334,7 @@
 		woken := bootclock.Now()
 		near.signal(syscall.SIGCONT)
 		// Whatever it answers with an old version it tells to be old.
-		honest := func(answer configuration.PollAnswer, asked time.Duration) {
+		honest := func(answer configuration.PollResponse, asked time.Duration) {
 			t.Helper()
 			if answer.Update != nil && answer.Update.Version < second && answer.Age() < asked-changed-time.Millisecond {
 				t.Errorf("found version %v told to be %v old, wanted %v at least", answer.Update.Version, answer.Age(), asked-changed)
@@ -353,13 +353,13 @@
 		}
 		for range latePolls {
 			if answer := <-late; answer.received > woken { // else it was sent before the stop
-				honest(answer.PollAnswer, woken)
+				honest(answer.PollResponse, woken)
 			}
 		}
 		// The late answer is not taken by who has moved, however young it is told to be.
-		decide := configuration.NewSubscriber(configuration.DefaultSubscriber(2), rand.New(rand.NewPCG(1, 1)))
-		decide.Answered(0, &configuration.PollAnswer{Update: &configuration.Update{Version: second}})
-		if taken, _ := decide.Answered(0, &configuration.PollAnswer{Update: &configuration.Update{From: first, Version: first}}); decide.Version() != second || len(taken.Changed) > 0 {
+		decide := configuration.NewSubscriber(configuration.DefaultSubscriberSettings(2), rand.New(rand.NewPCG(1, 1)))
+		decide.HandleResponse(0, &configuration.PollResponse{Update: &configuration.Update{Version: second}})
+		if taken, _ := decide.HandleResponse(0, &configuration.PollResponse{Update: &configuration.Update{From: first, Version: first}}); decide.Version() != second || len(taken.Updated) > 0 {
 			t.Errorf("the late answer was taken: version %v", decide.Version())
 		}
 		third := c.put(t, settingsA, "a")
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -74,7 +74,7 @@
 	r.holds(first)
 	services := configuration.Subscription{"a", "b"}
 	answer := poll(t, r.Address(), configuration.Poll{Services: services})
-	if answer.Update == nil || !answer.Update.Snapshot() || len(answer.Update.Resources) != 2 || answer.Update.Version != first {
+	if answer.Update == nil || !answer.Update.IsSnapshot() || len(answer.Update.Resources) != 2 || answer.Update.Version != first {
 		t.Fatalf("the first answer: %+v", answer)
 	}
 	if answer = poll(t, r.Address(), configuration.Poll{Services: services, Version: first}); answer.Update == nil || answer.Update.From != first || len(answer.Update.Resources) != 0 {
@@ -86,7 +86,7 @@
 	if answer = poll(t, r.Address(), configuration.Poll{Services: services, Version: first, WaitMS: 50}); answer.Update == nil || answer.Update.Version != second || len(answer.Update.Resources) != 0 {
 		t.Errorf("the answer after a foreign change: %+v", answer)
 	}
-	answers := make(chan configuration.PollAnswer, 1)
+	answers := make(chan configuration.PollResponse, 1)
 	go func() {
 		answers <- poll(t, r.Address(), configuration.Poll{Services: services, Version: second, WaitMS: 5000})
 	}()
@@ -106,7 +106,7 @@
 	council := newStandIn(t, "west#1")
 	council.set(func(s *standIn) { s.leaderless = true })
 	r := start(t, testFile(council.address()))
-	if answer := poll(t, r.Address(), configuration.Poll{WaitMS: 5000}); answer.Refusal != configuration.RefusalNotReady {
+	if answer := poll(t, r.Address(), configuration.Poll{WaitMS: 5000}); answer.ErrorCode != configuration.CodeNotReady {
 		t.Errorf("a relay that has heard nothing: %+v", answer)
 	}
 	await(t, "a line for a council without a leader", func() bool { return strings.Contains(r.log.String(), "found no member of council") })
@@ -118,10 +118,10 @@
 	}
 	version := council.put(t, settingsA, "a")
 	r.holds(version)
-	if answer := poll(t, r.Address(), configuration.Poll{Version: version + 1}); answer.Refusal != configuration.RefusalBehind {
+	if answer := poll(t, r.Address(), configuration.Poll{Version: version + 1}); answer.ErrorCode != configuration.CodeBehind {
 		t.Errorf("a subscriber that is ahead: %+v", answer)
 	}
-	if answer := poll(t, r.Address(), configuration.Poll{Region: "east"}); answer.Refusal != configuration.RefusalRegion || answer.Region != "west" || answer.Reason == "" {
+	if answer := poll(t, r.Address(), configuration.Poll{Region: "east"}); answer.ErrorCode != configuration.CodeWrongRegion || answer.Region != "west" || answer.Reason == "" {
 		t.Errorf("another region's subscriber: %+v", answer)
 	}
 	for text, want := range map[string]string{
@@ -135,7 +135,7 @@
 		`{"region":"west","subscriber":"s","services":["a b"]}`:                "services[0]",
 	} {
 		status, answer := post(t, r.Address(), text)
-		if status != 400 || answer.Refusal != configuration.RefusalInvalid || !strings.Contains(answer.Reason, want) {
+		if status != 400 || answer.ErrorCode != configuration.CodeInvalid || !strings.Contains(answer.Reason, want) {
 			t.Errorf("%.60s: %d %+v, wanted %s", text, status, answer, want)
 		}
 	}
@@ -163,7 +163,7 @@
 	r.holds(council.put(t, settingsA, "a", "b"))
 	services := configuration.Subscription{"b"}
 	byDigest := configuration.Poll{Subscriber: "s", ServicesDigest: services.Digest()}
-	if answer := poll(t, r.Address(), byDigest); answer.Refusal != configuration.RefusalUnknownServices {
+	if answer := poll(t, r.Address(), byDigest); answer.ErrorCode != configuration.CodeUnknownServices {
 		t.Errorf("before the services were named: %+v", answer)
 	}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s", Services: services})
@@ -172,7 +172,7 @@
 		t.Errorf("after the services were named: %+v", answer)
 	}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s", Services: configuration.Subscription{"a"}})
-	if answer := poll(t, r.Address(), byDigest); answer.Refusal != configuration.RefusalUnknownServices {
+	if answer := poll(t, r.Address(), byDigest); answer.ErrorCode != configuration.CodeUnknownServices {
 		t.Errorf("after other services were named: %+v", answer)
 	}
 }
@@ -184,7 +184,7 @@
 	r := start(t, testFile(council.address()))
 	version := council.put(t, settingsA, "a")
 	r.holds(version)
-	answers := make(chan configuration.PollAnswer, 1)
+	answers := make(chan configuration.PollResponse, 1)
 	go func() { answers <- poll(t, r.Address(), configuration.Poll{Version: version + 1}) }()
 	await(t, "the poll", func() bool { return r.counts.read().Polls == 1 })
 	council.put(t, settingsB, "a")
@@ -241,7 +241,7 @@
 		t.Errorf("found %+v, wanted the version of before", answer)
 	}
 	// The council of before, restored: its space is newer.
-	council.set(func(s *standIn) { s.store.BeginSpace(2); s.name = "west#00000002" })
+	council.set(func(s *standIn) { s.store.StartTokenSpace(2); s.name = "west#00000002" })
 	r.holds(configuration.NewVersion(2, 2))
 }
 
@@ -275,7 +275,7 @@
 	r := start(t, testFile(council.address()))
 	r.holds(version)
 	const polls = 20
-	answers := make(chan configuration.PollAnswer, polls)
+	answers := make(chan configuration.PollResponse, polls)
 	for i := range polls {
 		go func() {
 			answers <- poll(t, r.Address(), configuration.Poll{Subscriber: fmt.Sprint("s", i), Version: version, WaitMS: 5000})
@@ -284,11 +284,11 @@
 	await(t, "polls that wait", func() bool { return r.counts.read().Polls == polls })
 	r.stop()
 	await(t, "the drain", r.isDraining)
-	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version, WaitMS: 5000}); answer.Refusal != configuration.RefusalDraining {
+	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version, WaitMS: 5000}); answer.ErrorCode != configuration.CodeDraining {
 		t.Errorf("a poll in the drain: %+v", answer)
 	}
 	for range polls {
-		if answer := <-answers; answer.Refusal != configuration.RefusalDraining {
+		if answer := <-answers; answer.ErrorCode != configuration.CodeDraining {
 			t.Errorf("a poll that waited: %+v", answer)
 		}
 	}
@@ -317,7 +317,7 @@
 	await(t, "polls that wait", func() bool { return r.counts.read().Polls == int64(len(open)) })
 	r.stop()
 	await(t, "the drain", r.isDraining)
-	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version}); answer.Refusal != configuration.RefusalDraining {
+	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version}); answer.ErrorCode != configuration.CodeDraining {
 		t.Errorf("a poll in the drain: %+v", answer)
 	}
 	if drained := r.counts.read().Drained; drained > int64(len(open)) {
@@ -366,11 +366,11 @@
 		if i%2 == 0 {
 			p.Services = configuration.Subscription{"other", "a"}
 		}
-		answers := make(chan configuration.PollAnswer, 1)
+		answers := make(chan configuration.PollResponse, 1)
 		go func() { answers <- poll(t, r.Address(), p) }()
 		await(t, "the poll", func() bool { return r.counts.read().Polls == int64(i+1) })
 		if i%4 == 3 { // the council is restored: all have to come for a snapshot
-			council.set(func(s *standIn) { s.store.BeginSpace(version.Space() + 1); version = s.store.Version })
+			council.set(func(s *standIn) { s.store.StartTokenSpace(version.TokenSpace() + 1); version = s.store.Version })
 			council.wake()
 		} else {
 			version = council.put(t, settingsB, "a")
@@ -436,7 +436,7 @@
 	}
 	recorder := httptest.NewRecorder()
 	r.writeReply(recorder, http.StatusOK, answer)
-	var told configuration.PollAnswer
+	var told configuration.PollResponse
 	if err := json.Unmarshal(recorder.Body.Bytes(), &told); err != nil {
 		t.Fatal(err)
 	}
@@ -485,9 +485,9 @@
 	rejected := []configuration.Rejection{{Service: "a", Version: version - 1, Reason: "no tenant a"}}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s1", Version: version, Rejected: rejected})
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s2", Version: version, Services: configuration.Subscription{"b"}})
-	var status configuration.StatusAnswer
+	var status configuration.StatusResponse
 	get(t, r.Address()+configuration.StatusPath+"?service=a", &status)
-	if len(status.Subscribers) != 1 || status.Version != version || status.Region != "west" || status.Subscribers[0].Reason != "no tenant a" || status.Subscribers[0].Rejected != version-1 {
+	if len(status.Subscribers) != 1 || status.Version != version || status.Region != "west" || status.Subscribers[0].Reason != "no tenant a" || status.Subscribers[0].RejectedVersion != version-1 {
 		t.Errorf("status %+v", status)
 	}
 	var info Info
--- a/internal/fleet/relay/serve.go
+++ b/internal/fleet/relay/serve.go
@@ -42,7 +42,7 @@
 // serveStatus tells how the subscribers stand to a service.
 func (r *Relay) serveStatus(w http.ResponseWriter, req *http.Request) {
 	service := req.URL.Query().Get(configuration.StatusParameter)
-	if err := configuration.CheckName(configuration.StatusParameter, service); err != nil {
+	if err := configuration.ValidateName(configuration.StatusParameter, service); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -51,7 +51,7 @@
 	r.mu.Lock()
 	subscribers := r.registry.Status(now, service)
 	r.mu.Unlock()
-	r.writeJSON(w, http.StatusOK, &configuration.StatusAnswer{
+	r.writeJSON(w, http.StatusOK, &configuration.StatusResponse{
 		Region: r.file.Region, Version: version, AgeMS: heard.age(now).Milliseconds(), Subscribers: subscribers,
 	})
 }
@@ -67,28 +67,28 @@
 	}
 	info.Counts.ConnectionsRefused = r.listener.refused.Load()
 	r.mu.Lock()
-	r.registry.Forget(now)
+	r.registry.ExpireInactive(now)
 	info.Subscribers = r.registry.Len()
-	info.SnapshotsNow, info.SnapshotsPeak = r.admission.decide.UnderWay(now), r.admission.decide.Peak()
+	info.SnapshotsNow, info.SnapshotsPeak = r.admission.decide.InFlight(now), r.admission.decide.Peak()
 	r.mu.Unlock()
 	r.writeJSON(w, http.StatusOK, info)
 }
 
 // reply is the answer to a poll, with when what it tells was heard.
 type reply struct {
-	configuration.PollAnswer
+	configuration.PollResponse
 	heard hearing
 }
 
 // writeReply writes a reply with the age that it has now.
 func (r *Relay) writeReply(w http.ResponseWriter, status int, answer *reply) {
-	if answer.Refusal == configuration.RefusalDraining {
+	if answer.ErrorCode == configuration.CodeDraining {
 		w.Header().Set("Connection", "close")
 	}
 	text := buffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(text)
 	answer.AgeMS = answer.heard.age(bootclock.Now()).Milliseconds()
-	if err := encodeAnswer(text, &answer.PollAnswer); err != nil {
+	if err := encodeAnswer(text, &answer.PollResponse); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
--- a/internal/fleet/relay/standin_test.go
+++ b/internal/fleet/relay/standin_test.go
@@ -94,7 +94,7 @@
 	end := time.After(time.Duration(question.WaitMS) * time.Millisecond)
 	for over := question.WaitMS == 0; ; {
 		s.mu.Lock()
-		update, changed := s.store.Since(question.Version), s.changed
+		update, changed := s.store.UpdateSince(question.Version), s.changed
 		s.mu.Unlock()
 		if over || update.Version != question.Version {
 			return &update
@@ -120,7 +120,7 @@
 		if s.store.Resources[service] == nil {
 			change.IfVersion = new(configuration.Version)
 		}
-		if _, err := s.store.Apply(max(1, s.store.Version.Space()), change); err != nil {
+		if _, err := s.store.Apply(max(1, s.store.Version.TokenSpace()), change); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -214,7 +214,7 @@
 }
 
 // post sends a text as a poll and returns the answer.
-func post(t testing.TB, address, text string) (int, configuration.PollAnswer) {
+func post(t testing.TB, address, text string) (int, configuration.PollResponse) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var answer configuration.PollAnswer
+	var answer configuration.PollResponse
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 }
 
 // poll sends a poll and returns the answer.
-func poll(t testing.TB, address string, p configuration.Poll) configuration.PollAnswer {
+func poll(t testing.TB, address string, p configuration.Poll) configuration.PollResponse {
 	t.Helper()
 	if p.Region == "" {
 		p.Region = "west"
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -156,7 +156,7 @@
 
 	// Distribution of configuration.
 	{Name: "admission-off", Played: scaleFaults, File: "internal/fleet/configuration/admission.go", Breaks: "a relay sends any number of snapshots at a time",
-		Old: "len(a.places) >= a.settings.Places {\n\t\ta.waiting.present++", New: "len(a.places) >= MaxSubscribers {\n\t\ta.waiting.present++"},
+		Old: "len(a.slots) >= a.settings.Slots {\n\t\ta.expectedRetries.current++", New: "len(a.slots) >= MaxSubscribers {\n\t\ta.expectedRetries.current++"},
 	{Name: "compare-and-set-off", Played: scaleFaults, File: "internal/fleet/configuration/store.go", Breaks: "of two operators who change the same version both win",
 		Old: "case resource != nil && c.IfVersion != nil && *c.IfVersion != resource.Version:", New: "case resource != nil && c.IfVersion != nil && resource.Version == 0:"},
 	{Name: "late-answer-taken", File: "internal/fleet/configuration/cache.go", Breaks: "a late relay answers who is ahead of it, and its answer is taken",
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -171,9 +171,9 @@
 }
 
 // apply reports what is in force now.
-func (s *hollowSubscriber) apply(taken configuration.Taken, _ configuration.Version) []configuration.Rejection {
+func (s *hollowSubscriber) apply(taken configuration.Changes, _ configuration.Version) []configuration.Rejection {
 	now := Now()
-	for _, resource := range taken.Changed {
+	for _, resource := range taken.Updated {
 		s.report(now, resource.Service, resource.Version)
 	}
 	for _, service := range taken.Removed {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -121,7 +121,7 @@
 	return Limits{Descriptors: int(min(files.Cur, 1<<30)), Memory: memory}, err
 }
 
-// Check tells in one line why a run can't be played on a machine.
+// Validate tells in one line why a run can't be played on a machine.
 func (o *Options) Check(machine Limits) error {
 	if err := o.checkBounds(); err != nil {
 		return fmt.Errorf("%w: %w", ErrOptions, err)
@@ -148,8 +148,8 @@
 			return err
 		}
 	}
-	if total := o.Services * o.SettingsBytes; total > configuration.MaxTotalBytes {
-		return fmt.Errorf("-settings-bytes: found %d of each of %d services, %d in all, wanted %d at most", o.SettingsBytes, o.Services, total, configuration.MaxTotalBytes)
+	if total := o.Services * o.SettingsBytes; total > configuration.MaxTotalSettingsBytes {
+		return fmt.Errorf("-settings-bytes: found %d of each of %d services, %d in all, wanted %d at most", o.SettingsBytes, o.Services, total, configuration.MaxTotalSettingsBytes)
 	}
 	return nil
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -97,7 +97,7 @@
 		if s.Relays[0] != s.Zone || len(s.Relays) != 3 || distinct(s.Relays) != 3 || distinct(s.Services) != 20 || !slices.IsSorted(s.Services) {
 			t.Fatalf("found %+v, wanted its zone's relay, two others and 20 services, rising", s)
 		}
-		if err := topology.Subscription(s).Check(); err != nil {
+		if err := topology.Subscription(s).Validate(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -33,7 +33,7 @@
 	return c.Region != "" || c.Name != "" || len(c.Relays) > 0 || len(c.Services) > 0
 }
 
-// check says what is wrong with the section where it is on.
+// validate says what is wrong with the section where it is on.
 func (c *Configuration) check(say func(key, found, wanted string)) {
 	if !c.On() {
 		return
@@ -47,7 +47,7 @@
 }
 
 func (c *Configuration) checkName(say func(key, found, wanted string), key, name string) {
-	if configuration.CheckName(key, name) != nil {
+	if configuration.ValidateName(key, name) != nil {
 		say(key, fmt.Sprintf("%.80q", name), fmt.Sprintf("1 to %d printable bytes without blanks", configuration.MaxNameBytes))
 	}
 }
--- a/internal/sidecar/live.go
+++ b/internal/sidecar/live.go
@@ -47,8 +47,8 @@
 }
 
 // take puts changes in force, and returns all resources that can't be used.
-func (l *liveSettings) take(taken configuration.Taken, version configuration.Version) []configuration.Rejection {
-	for _, changed := range taken.Changed {
+func (l *liveSettings) take(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
+	for _, changed := range taken.Updated {
 		if state := l.find(changed.Service); state != nil {
 			state.newest = readResource(changed)
 		}
@@ -66,7 +66,7 @@
 	for i := range l.services {
 		l.services[i].inForce = result.inForce[i]
 	}
-	slog.Info("configuration: in force", "version", version, "changed", len(taken.Changed), "removed", len(taken.Removed), "rejected", len(result.rejected))
+	slog.Info("configuration: in force", "version", version, "changed", len(taken.Updated), "removed", len(taken.Removed), "rejected", len(result.rejected))
 	l.logRejections(taken, result.rejected)
 	return result.rejected
 }
@@ -98,10 +98,10 @@
 }
 
 // logRejections logs the rejected ones among those that have just come.
-func (l *liveSettings) logRejections(taken configuration.Taken, rejected []configuration.Rejection) {
+func (l *liveSettings) logRejections(taken configuration.Changes, rejected []configuration.Rejection) {
 	for _, r := range rejected {
 		isNew := func(changed configuration.Resource) bool { return changed.Service == r.Service }
-		if slices.ContainsFunc(taken.Changed, isNew) {
+		if slices.ContainsFunc(taken.Updated, isNew) {
 			slog.Warn("configuration: rejected, the last good settings stay", "service", r.Service, "version", r.Version, "why", r.Reason)
 		}
 	}
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -73,7 +73,7 @@
 
 func (r *standInRelay) take(t *testing.T, update configuration.Update) {
 	t.Helper()
-	if _, err := r.cache.Take(update); err != nil {
+	if _, err := r.cache.Apply(update); err != nil {
 		t.Fatal(err)
 	}
 	close(r.news)
@@ -82,7 +82,7 @@
 
 func (r *standInRelay) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	var poll configuration.Poll
-	if err := json.NewDecoder(request.Body).Decode(&poll); err != nil || poll.Check() != nil {
+	if err := json.NewDecoder(request.Body).Decode(&poll); err != nil || poll.Validate() != nil {
 		http.Error(w, "bad poll", http.StatusBadRequest)
 		return
 	}
@@ -104,8 +104,8 @@
 			return
 		}
 	}
-	update := r.cache.Since(poll.Version, poll.Services)
-	json.NewEncoder(w).Encode(configuration.PollAnswer{Region: relayRegion, Update: &update})
+	update := r.cache.UpdateSince(poll.Version, poll.Services)
+	json.NewEncoder(w).Encode(configuration.PollResponse{Region: relayRegion, Update: &update})
 }
 
 func (r *standInRelay) last() configuration.Poll {
--- a/internal/sidecar/overlay.go
+++ b/internal/sidecar/overlay.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// check tells whether a service may set what it does.
+// validate tells whether a service may set what it does.
 func (l *layers) check(service string, settings *configuration.Settings) error {
 	if settings.Tenants != nil && l.tenantsBy != "" {
 		return fmt.Errorf("tenants: found them set by %s too, wanted one service that sets them", l.tenantsBy)
@@ -169,14 +169,14 @@
 
 // apply changes of a class what the change names.
 func apply(class *balance.Class, change *configuration.Class) {
-	if change.AimMicroseconds != nil {
-		class.Aim = time.Duration(*change.AimMicroseconds) * time.Microsecond
+	if change.LatencyObjectiveMicroseconds != nil {
+		class.Aim = time.Duration(*change.LatencyObjectiveMicroseconds) * time.Microsecond
 	}
-	if change.Worth != nil {
-		class.Worth = *change.Worth
+	if change.PriorityWeight != nil {
+		class.Worth = *change.PriorityWeight
 	}
-	if change.LateWorth != nil {
-		class.LateWorth = *change.LateWorth
+	if change.LatePriorityWeight != nil {
+		class.LateWorth = *change.LatePriorityWeight
 	}
 }
 
--- a/internal/sidecar/overlay_test.go
+++ b/internal/sidecar/overlay_test.go
@@ -146,12 +146,12 @@
 			live.services = append(live.services, serviceState{service: service})
 		}
 		for number := uint32(1); number <= 12; number++ {
-			var taken configuration.Taken
+			var taken configuration.Changes
 			version := configuration.NewVersion(1, number)
 			for _, service := range services {
 				switch rapid.IntRange(0, 5).Draw(t, service) {
 				case 0:
-					taken.Changed = append(taken.Changed, configuration.Resource{Service: service, Version: version, Settings: []byte(drawSettings(t))})
+					taken.Updated = append(taken.Updated, configuration.Resource{Service: service, Version: version, Settings: []byte(drawSettings(t))})
 				case 1:
 					taken.Removed = append(taken.Removed, service)
 				}
@@ -228,12 +228,12 @@
 	live := &liveSettings{file: fileSettings(), services: []serviceState{{service: "s"}, {service: "t"}}}
 	live.change = func([]balance.Class, []balance.Tenant) error { return refusal }
 	version := configuration.NewVersion(1, 1)
-	taken := configuration.Taken{Changed: []configuration.Resource{{Service: "s", Version: version, Settings: []byte(`{}`)}, {Service: "other", Version: version}}}
+	taken := configuration.Changes{Updated: []configuration.Resource{{Service: "s", Version: version, Settings: []byte(`{}`)}, {Service: "other", Version: version}}}
 	if rejected := live.take(taken, version); len(rejected) != 1 || rejected[0] != (configuration.Rejection{Service: "s", Version: version, Reason: "no"}) {
 		t.Errorf("rejected: found %v, wanted s for the reason given", rejected)
 	}
 	refusal = nil
-	if rejected := live.take(configuration.Taken{}, version); len(rejected) != 0 || live.services[0].inForce == nil {
+	if rejected := live.take(configuration.Changes{}, version); len(rejected) != 0 || live.services[0].inForce == nil {
 		t.Errorf("rejected: found %v and %+v in force, wanted s in force", rejected, live.services[0].inForce)
 	}
 }
--- a/internal/subscription/connection.go
+++ b/internal/subscription/connection.go
@@ -56,7 +56,7 @@
 
 // exchange sends a request and reads its answer, all until the deadline. It closes
 // the connection where that can't be used any more.
-func (c *connection) exchange(ctx context.Context, address string, request []byte, deadline time.Time, into *configuration.PollAnswer) error {
+func (c *connection) exchange(ctx context.Context, address string, request []byte, deadline time.Time, into *configuration.PollResponse) error {
 	conn, err := c.open(ctx, address, deadline)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 }
 
 // converse makes an exchange on an open connection.
-func (c *connection) converse(conn net.Conn, request []byte, deadline time.Time, into *configuration.PollAnswer) error {
+func (c *connection) converse(conn net.Conn, request []byte, deadline time.Time, into *configuration.PollResponse) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return fmt.Errorf("connection: %w", err)
 	}
@@ -119,10 +119,10 @@
 
 // read reads an answer whose first byte is there. The buffer for its body is borrowed
 // meanwhile only.
-func (c *connection) read(into *configuration.PollAnswer) error {
+func (c *connection) read(into *configuration.PollResponse) error {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	if err := response.ReadLimitBody(c.reader, configuration.MaxUpdateBytes); err != nil {
+	if err := response.ReadLimitBody(c.reader, configuration.MaxResponseBytes); err != nil {
 		return fmt.Errorf("reading the answer: %w", err)
 	}
 	if response.ConnectionClose() || response.Header.ContentLength() == -2 {
--- a/internal/subscription/format_test.go
+++ b/internal/subscription/format_test.go
@@ -77,9 +77,9 @@
 			t.Error(err)
 		}
 	})
-	applied := make(chan configuration.Taken, 1)
+	applied := make(chan configuration.Changes, 1)
 	c := newClient(Settings{Region: region, Subscriber: "n1", Relays: []string{near.address()}}, times(1),
-		func(taken configuration.Taken, version configuration.Version) []configuration.Rejection {
+		func(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
 			if version != configuration.NewVersion(3, 9) {
 				t.Errorf("found version %v, wanted 3.9", version)
 			}
@@ -89,7 +89,7 @@
 	go c.Run(t.Context())
 	select {
 	case taken := <-applied:
-		got, err := json.Marshal(taken.Changed)
+		got, err := json.Marshal(taken.Updated)
 		want := `[{"service":"mail","version":12884901896,"settings":{"tenants":[{"name":"acme","quota-per-s":120.5}]}}]`
 		if err != nil || string(got) != want {
 			t.Errorf("found %s, %v, wanted %s", got, err, want)
--- a/internal/subscription/memory_test.go
+++ b/internal/subscription/memory_test.go
@@ -52,7 +52,7 @@
 	for _, service := range services {
 		update.Resources = append(update.Resources, configuration.Resource{Service: service, Version: update.Version, Settings: bytes.Repeat([]byte("1"), 200)})
 	}
-	body, err := json.Marshal(configuration.PollAnswer{Region: region, Update: &update})
+	body, err := json.Marshal(configuration.PollResponse{Region: region, Update: &update})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,12 +81,12 @@
 		return &oneAnswerConn{answer: bytes.NewReader(answer), waits: waits, closed: make(chan struct{})}, nil
 	}
 	long := times(2)
-	long.Timeout = 10 * hang
+	long.ResponseTimeout = 10 * hang
 	before := inUse()
 	var running sync.WaitGroup
 	for i := range clients {
 		settings.Subscriber, settings.Seed = fmt.Sprintf("n%d", i), uint64(i)
-		client := newClient(settings, long, func(configuration.Taken, configuration.Version) []configuration.Rejection { return nil })
+		client := newClient(settings, long, func(configuration.Changes, configuration.Version) []configuration.Rejection { return nil })
 		running.Go(func() { client.Run(ctx) })
 	}
 	for range clients {
--- a/internal/subscription/poll.go
+++ b/internal/subscription/poll.go
@@ -86,7 +86,7 @@
 }
 
 // checkRegion tells whether an answer can be one to a client of the region.
-func checkRegion(answer *configuration.PollAnswer, region string) error {
+func checkRegion(answer *configuration.PollResponse, region string) error {
 	if answer.Region != region {
 		return fmt.Errorf("region: found an answer of %.80q, wanted %q", answer.Region, region)
 	}
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -31,7 +31,7 @@
 // Apply takes what has changed and returns all resources that can't be used now, of
 // this change and of earlier ones: they are reported to the relays until the next
 // call. It is called by one goroutine, in the order of versions.
-type Apply func(taken configuration.Taken, version configuration.Version) []configuration.Rejection
+type Apply func(taken configuration.Changes, version configuration.Version) []configuration.Rejection
 
 // Status is how a client stands.
 type Status struct {
@@ -61,7 +61,7 @@
 
 // New returns a client that has not begun.
 func New(settings Settings, apply Apply) *Client {
-	return newClient(settings, configuration.DefaultSubscriber(len(settings.Relays)), apply)
+	return newClient(settings, configuration.DefaultSubscriberSettings(len(settings.Relays)), apply)
 }
 
 // newClient lets tests choose the times.
@@ -93,7 +93,7 @@
 	defer c.connection.close()
 	for {
 		next := c.next()
-		if !sleep(ctx, next.At-c.now()) {
+		if !sleep(ctx, next.Due-c.now()) {
 			return
 		}
 		answer, err := c.poll(ctx, next)
@@ -110,10 +110,10 @@
 
 func (c *Client) now() time.Duration { return time.Since(c.start) }
 
-func (c *Client) next() configuration.Next {
+func (c *Client) next() configuration.NextPoll {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := c.subscriber.Next(c.now())
+	next := c.subscriber.NextPoll(c.now())
 	c.relay = next.Relay
 	return next
 }
@@ -121,7 +121,7 @@
 // poll makes one poll. A connection that turns out to be shut without a byte of the
 // answer was closed while it was idle: the poll is made once more on a new one, and
 // does not wait there.
-func (c *Client) poll(ctx context.Context, next configuration.Next) (*configuration.PollAnswer, error) {
+func (c *Client) poll(ctx context.Context, next configuration.NextPoll) (*configuration.PollResponse, error) {
 	address := c.settings.Relays[next.Relay]
 	reused := c.connection.openTo(address) != nil
 	answer, err := c.exchange(ctx, address, next.Wait, next.Timeout)
@@ -132,10 +132,10 @@
 }
 
 // exchange sends a poll and returns its answer, or why that can't be used.
-func (c *Client) exchange(ctx context.Context, address string, wait, timeout time.Duration) (*configuration.PollAnswer, error) {
+func (c *Client) exchange(ctx context.Context, address string, wait, timeout time.Duration) (*configuration.PollResponse, error) {
 	deadline := time.Now().Add(timeout)
 	answer, err := c.exchangeOnce(ctx, address, c.namedTo == address, wait, deadline)
-	if err == nil && answer.Refusal == configuration.RefusalUnknownServices {
+	if err == nil && answer.ErrorCode == configuration.CodeUnknownServices {
 		answer, err = c.exchangeOnce(ctx, address, false, wait, deadline)
 	}
 	if err != nil {
@@ -148,9 +148,9 @@
 
 // exchangeOnce sends one poll, with the digest of the services in their place where
 // they were named before.
-func (c *Client) exchangeOnce(ctx context.Context, address string, named bool, wait time.Duration, deadline time.Time) (*configuration.PollAnswer, error) {
+func (c *Client) exchangeOnce(ctx context.Context, address string, named bool, wait time.Duration, deadline time.Time) (*configuration.PollResponse, error) {
 	request := c.encoder.encode(address, named, c.subscriber.Version(), c.rejected, wait)
-	answer := &configuration.PollAnswer{}
+	answer := &configuration.PollResponse{}
 	if err := c.connection.exchange(ctx, address, request, deadline, answer); err != nil {
 		return nil, err
 	}
@@ -161,27 +161,27 @@
 func (c *Client) failed(relay int, err error) {
 	c.connection.close() // after an answer that can't be used, too
 	c.mu.Lock()
-	c.subscriber.Failed(c.now())
+	c.subscriber.HandleFailure(c.now())
 	c.mu.Unlock()
 	c.noteFailure(relay, err.Error())
 }
 
-// answered takes an answer, applies what it changes and notes what can't be used.
-func (c *Client) answered(relay int, answer *configuration.PollAnswer) {
+// ageMeasuredAt takes an answer, applies what it changes and notes what can't be used.
+func (c *Client) answered(relay int, answer *configuration.PollResponse) {
 	c.mu.Lock()
-	taken, err := c.subscriber.Answered(c.now(), answer)
+	taken, err := c.subscriber.HandleResponse(c.now(), answer)
 	version := c.subscriber.Version()
 	c.mu.Unlock()
 	switch {
 	case err != nil:
 		c.noteFailure(relay, err.Error())
-	case answer.Refusal == "" && answer.Update != nil:
+	case answer.ErrorCode == "" && answer.Update != nil:
 		c.noteAnswer(relay)
-	case answer.Refusal != configuration.RefusalBusy:
-		c.noteFailure(relay, fmt.Sprintf("found refusal %.80q (%.*s), wanted an update", answer.Refusal, configuration.MaxReasonBytes, answer.Reason))
+	case answer.ErrorCode != configuration.CodeBusy:
+		c.noteFailure(relay, fmt.Sprintf("found refusal %.80q (%.*s), wanted an update", answer.ErrorCode, configuration.MaxReasonBytes, answer.Reason))
 	}
-	if len(taken.Changed)+len(taken.Removed) > 0 {
-		c.rejected = configuration.BoundRejections(c.apply(taken, version)) // the next poll acknowledges
+	if len(taken.Updated)+len(taken.Removed) > 0 {
+		c.rejected = configuration.TruncateRejections(c.apply(taken, version)) // the next poll acknowledges
 	}
 }
 
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -82,7 +82,7 @@
 // update writes an update with a resource of version to a poll that lacks it, and
 // one without news after the poll's wait to others.
 func update(w http.ResponseWriter, poll configuration.Poll, version configuration.Version) {
-	answer := configuration.PollAnswer{Region: region, Update: &configuration.Update{From: poll.Version, Version: version}}
+	answer := configuration.PollResponse{Region: region, Update: &configuration.Update{From: poll.Version, Version: version}}
 	if poll.Version < version {
 		answer.Update.Resources = []configuration.Resource{{Service: "orders", Version: version, Settings: json.RawMessage(`{}`)}}
 	} else {
@@ -91,11 +91,13 @@
 	write(w, answer)
 }
 
-func refuse(w http.ResponseWriter, refusal configuration.Refusal) {
-	write(w, configuration.PollAnswer{Region: region, Refusal: refusal, RetryMS: 1})
+func refuse(w http.ResponseWriter, refusal configuration.ErrorCode) {
+	write(w, configuration.PollResponse{Region: region, ErrorCode: refusal, RetryAfterMS: 1})
 }
 
-func write(w http.ResponseWriter, answer configuration.PollAnswer) { json.NewEncoder(w).Encode(answer) }
+func write(w http.ResponseWriter, answer configuration.PollResponse) {
+	json.NewEncoder(w).Encode(answer)
+}
 
 // holding answers with updates up to a version.
 func holding(version configuration.Version) func(http.ResponseWriter, configuration.Poll, int) {
@@ -105,9 +107,9 @@
 // times are short where a test waits for them. Timeouts are long, but for those of
 // tests that wait for one.
 func times(relays int) configuration.SubscriberSettings {
-	s := configuration.DefaultSubscriber(relays)
-	s.Wait, s.Timeout, s.Return = 50*time.Millisecond, hang, 100*time.Millisecond
-	s.RetryLeast, s.RetryMost = time.Millisecond, 10*time.Millisecond
+	s := configuration.DefaultSubscriberSettings(relays)
+	s.PollWait, s.ResponseTimeout, s.ProbeInterval = 50*time.Millisecond, hang, 100*time.Millisecond
+	s.RetryMin, s.RetryMax = time.Millisecond, 10*time.Millisecond
 	return s
 }
 
@@ -116,7 +118,7 @@
 	*Client
 	mu      sync.Mutex
 	applied []configuration.Version
-	reject  func(configuration.Taken, configuration.Version) []configuration.Rejection
+	reject  func(configuration.Changes, configuration.Version) []configuration.Rejection
 }
 
 func run(t *testing.T, s configuration.SubscriberSettings, reject Apply, relays ...string) *client {
@@ -142,7 +144,7 @@
 	return c
 }
 
-func (c *client) take(taken configuration.Taken, version configuration.Version) []configuration.Rejection {
+func (c *client) take(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applied = append(c.applied, version)
@@ -230,8 +232,8 @@
 func TestClientGoesByARelayThatGivesNoAnswer(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
 	short := times(2)
-	short.Timeout = 200 * time.Millisecond
-	older := configuration.PollAnswer{Region: region, Update: &configuration.Update{From: 0, Version: configuration.NewVersion(1, 3)}}
+	short.ResponseTimeout = 200 * time.Millisecond
+	older := configuration.PollResponse{Region: region, Update: &configuration.Update{From: 0, Version: configuration.NewVersion(1, 3)}}
 	for _, test := range []struct {
 		name  string
 		times configuration.SubscriberSettings
@@ -253,19 +255,19 @@
 		{"no JSON", times(2), func(w http.ResponseWriter, _ chan struct{}) { http.Error(w, "no", http.StatusNotFound) }, "answer of status 404"},
 		{"too long", times(2), func(w http.ResponseWriter, _ chan struct{}) {
 			text, _ := json.Marshal(older)
-			w.Write(append(text, bytes.Repeat([]byte(" "), configuration.MaxUpdateBytes)...))
+			w.Write(append(text, bytes.Repeat([]byte(" "), configuration.MaxResponseBytes)...))
 		}, "body size exceeds the given limit"},
 		{"other region", times(2), func(w http.ResponseWriter, _ chan struct{}) {
-			write(w, configuration.PollAnswer{Region: "south", Update: older.Update})
+			write(w, configuration.PollResponse{Region: "south", Update: older.Update})
 		}, "found an answer of"},
 		{"neither update nor refusal", times(2), func(w http.ResponseWriter, _ chan struct{}) {
-			write(w, configuration.PollAnswer{Region: region})
+			write(w, configuration.PollResponse{Region: region})
 		}, `found refusal \"\" (), wanted an update`},
 		{"age below zero", times(2), func(w http.ResponseWriter, _ chan struct{}) {
-			write(w, configuration.PollAnswer{Region: region, AgeMS: -1, Update: older.Update})
+			write(w, configuration.PollResponse{Region: region, AgeMS: -1, Update: older.Update})
 		}, ""},
-		{"draining", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.RefusalDraining) }, `found refusal \"draining\"`},
-		{"not ready", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.RefusalNotReady) }, `found refusal \"not_ready\"`},
+		{"draining", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.CodeDraining) }, `found refusal \"draining\"`},
+		{"not ready", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.CodeNotReady) }, `found refusal \"not_ready\"`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			log := captureLog(t)
@@ -297,7 +299,7 @@
 func TestClientStaysWithWhatItHasWhereARelayIsOlder(t *testing.T) {
 	newer, older := configuration.NewVersion(1, 7), configuration.NewVersion(1, 3)
 	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
-		write(w, configuration.PollAnswer{Region: region, Update: &configuration.Update{From: 0, Version: older, Resources: []configuration.Resource{
+		write(w, configuration.PollResponse{Region: region, Update: &configuration.Update{From: 0, Version: older, Resources: []configuration.Resource{
 			{Service: "orders", Version: older, Settings: json.RawMessage(`{}`)},
 		}}})
 	})
@@ -316,7 +318,7 @@
 	version := configuration.NewVersion(1, 7)
 	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number < 3 {
-			refuse(w, configuration.RefusalBusy)
+			refuse(w, configuration.CodeBusy)
 			return
 		}
 		update(w, poll, version)
@@ -350,7 +352,7 @@
 	version := configuration.NewVersion(1, 7)
 	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number < 2 {
-			refuse(w, configuration.RefusalDraining)
+			refuse(w, configuration.CodeDraining)
 			return
 		}
 		update(w, poll, version)
@@ -408,7 +410,7 @@
 		update(w, poll, version.(configuration.Version))
 	})
 	reason := "two\nlines" + strings.Repeat("é", configuration.MaxReasonBytes)
-	c := run(t, times(1), func(taken configuration.Taken, version configuration.Version) []configuration.Rejection {
+	c := run(t, times(1), func(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
 		if version == bad {
 			return []configuration.Rejection{{Service: "orders", Version: bad, Reason: reason}}
 		}
@@ -417,7 +419,7 @@
 	c.wantVersion(t, bad)
 	eventually(t, "three polls with the rejection", func() bool { return r.count() >= 4 })
 	for i, poll := range r.heard()[1:4] {
-		want := configuration.BoundRejections([]configuration.Rejection{{Service: "orders", Version: bad, Reason: reason}})
+		want := configuration.TruncateRejections([]configuration.Rejection{{Service: "orders", Version: bad, Reason: reason}})
 		if !slices.Equal(poll.Rejected, want) {
 			t.Errorf("poll %d: found rejections %.80v, wanted %.80v", i+1, poll.Rejected, want)
 		}
@@ -434,7 +436,7 @@
 func TestClientLogsAFailingRelayOnce(t *testing.T) {
 	log := captureLog(t)
 	near := newRelay(t, func(w http.ResponseWriter, _ configuration.Poll, number int) {
-		write(w, configuration.PollAnswer{Region: "south", Refusal: configuration.RefusalRegion})
+		write(w, configuration.PollResponse{Region: "south", ErrorCode: configuration.CodeWrongRegion})
 	})
 	run(t, times(1), nil, near.address())
 	eventually(t, "five polls", func() bool { return near.count() >= 5 })
@@ -452,7 +454,7 @@
 		<-near.ended
 	})
 	long := times(1)
-	long.Timeout = 10 * hang
+	long.ResponseTimeout = 10 * hang
 	run(t, long, nil, near.address()) // its end is bounded by hang
 	<-came
 }
@@ -491,13 +493,13 @@
 	services := configuration.Subscription{"orders", "payments"}
 	forgetful := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number == 2 { // it was restarted, say
-			refuse(w, configuration.RefusalUnknownServices)
+			refuse(w, configuration.CodeUnknownServices)
 			return
 		}
 		update(w, poll, 1)
 	})
 	c := newClient(Settings{Region: region, Subscriber: "n1", Relays: []string{forgetful.address()}, Services: services}, times(1),
-		func(configuration.Taken, configuration.Version) []configuration.Rejection { return nil })
+		func(configuration.Changes, configuration.Version) []configuration.Rejection { return nil })
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
