--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -228,7 +228,7 @@
 		{[]string{"put", "-if-version", "0", mail}, exitConflict, "service mail: found version 1.2, wanted 0.0"},
 		{[]string{"put", r.settingsFile("none.toml", "none", "x")}, exitFailed, "service none: found no such service"},
 		{[]string{"put", bad}, exitFailed, "bad.toml:4: tenant[1].quota_per_s: found -1, wanted 0 to 1e9"},
-		{[]string{"put", roll}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, and a roll"},
+		{[]string{"put", roll}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart"},
 		{[]string{"put", unknown}, exitFailed, "unknown.toml:2: shares: found a key that is not known"},
 		{[]string{"put", large}, exitFailed, "wanted 8192 at most"},
 		{[]string{"put", filepath.Join(r.folder, "absent.toml")}, exitFailed, "no such file"},
--- a/internal/fleet/configuration/message.go
+++ b/internal/fleet/configuration/message.go
@@ -12,20 +12,20 @@
 	"unicode/utf8"
 )
 
-// Bounds of a region's configuration. What goes beyond is refused, not cut.
+// Limits of a region's configuration. What exceeds them is rejected, not truncated.
 const (
 	MaxServices                = 512         // resources of a region
 	MaxSettingsBytes           = 8 << 10     // of one service's settings
 	MaxTotalSettingsBytes      = 3 << 20     // of all settings together
-	MaxNameBytes               = 64          // of a service, a subscriber or a change's id
+	MaxNameBytes               = 64          // of a service, a subscriber or a change's ID
 	MaxReasonBytes             = 256         // of a rejection's reason
-	MaxPollBytes               = 64 << 10    // of a subscriber's poll
-	MaxResponseBytes           = 4 << 20     // of an answer to a poll
-	MaxRejectionsPerSubscriber = 32          // that are kept of a subscriber
-	MaxWait                    = time.Minute // of a poll; a longer one is taken as this
+	MaxPollBytes               = 64 << 10    // of the body of a subscriber's poll
+	MaxResponseBytes           = 4 << 20     // of the body of a response to a poll
+	MaxRejectionsPerSubscriber = 32          // further ones are dropped
+	MaxWait                    = time.Minute // of a poll; a longer one is shortened to this
 )
 
-// Resource is the settings of one service under the version of their last change.
+// Resource is the settings of one service with the version of their last change.
 type Resource struct {
 	Service  string          `json:"service"`
 	Version  Version         `json:"version"`
@@ -35,26 +35,26 @@
 // byVersion orders resources by their versions.
 func byVersion(a, b Resource) int { return cmp.Compare(a.Version, b.Version) }
 
-// Update brings its receiver from one version to another: a snapshot of all that the
-// receiver subscribes to, where From is 0, or a delta, which names each subscribed
-// resource that has changed since From once, at its newest.
+// Update takes its receiver from one version to another: a snapshot of all that the
+// receiver subscribes to, where From is 0, or a delta, which has each subscribed
+// resource that has changed since From once, in its newest version.
 type Update struct {
 	From      Version    `json:"from"`
 	Version   Version    `json:"version"`
 	Resources []Resource `json:"resources,omitempty"`
 }
 
-// IsSnapshot tells whether an update names all that its receiver subscribes to.
+// IsSnapshot reports whether an update has all that its receiver subscribes to.
 func (u *Update) IsSnapshot() bool { return u.From == 0 }
 
-// Subscription is the set of services that a subscriber wants to hear of. The nil
-// subscription stands for all services.
+// Subscription is the set of services that a subscriber follows. The nil subscription
+// stands for all services.
 type Subscription []string
 
-// Validate tells what is wrong with a subscription that was received.
+// Validate checks a subscription that was received.
 func (s Subscription) Validate() error {
 	if len(s) > MaxServices {
-		return fmt.Errorf("services: found %d, wanted %d at most", len(s), MaxServices)
+		return tooMany("services", len(s), MaxServices)
 	}
 	named := make(map[string]bool, len(s))
 	for i, service := range s {
@@ -62,15 +62,15 @@
 			return fmt.Errorf("services[%d]: %w", i, err)
 		}
 		if named[service] {
-			return fmt.Errorf("services[%d]: found %q twice, wanted each once", i, service)
+			return invalid(fmt.Sprintf("services[%d]", i), fmt.Sprintf("%q twice", service), "each once")
 		}
 		named[service] = true
 	}
 	return nil
 }
 
-// Digest returns a number that stands for a subscription in polls; 0 for all services.
-// Two subscriptions in other orders have other digests.
+// Digest returns a hash that replaces a subscription in polls; 0 for all services.
+// Subscriptions in different orders have different digests.
 func (s Subscription) Digest() uint64 {
 	if s == nil {
 		return 0
@@ -83,26 +83,26 @@
 	return max(1, hash.Sum64())
 }
 
-// Rejection says that a subscriber can't use a version of a service's settings, and
-// keeps those that it had before.
+// Rejection reports that a subscriber can't use a version of a service's settings, and
+// continues with its previous ones.
 type Rejection struct {
 	Service string  `json:"service"`
 	Version Version `json:"version"`
 	Reason  string  `json:"reason"`
 }
 
-// isUnprintable tells which characters a line of text can't have.
+// isUnprintable reports whether a character can't be part of a line of text.
 func isUnprintable(r rune) bool { return !unicode.IsPrint(r) }
 
-// TruncateRejections returns what is kept of rejections: MaxRejectionsPerSubscriber at most, each with
-// a reason in one line of MaxReasonBytes at most. A poll that says more is not refused:
-// its subscriber would be cut off for the wording of a reason.
+// TruncateRejections returns the first MaxRejectionsPerSubscriber rejections, each with
+// its reason as one line of MaxReasonBytes at most. A poll that exceeds these limits is
+// not rejected: its subscriber would lose its updates for the wording of a reason.
 func TruncateRejections(rejections []Rejection) []Rejection {
-	bounded := slices.Clone(rejections[:min(len(rejections), MaxRejectionsPerSubscriber)])
-	for i := range bounded {
-		bounded[i].Reason = truncateReason(bounded[i].Reason)
+	truncated := slices.Clone(rejections[:min(len(rejections), MaxRejectionsPerSubscriber)])
+	for i := range truncated {
+		truncated[i].Reason = truncateReason(truncated[i].Reason)
 	}
-	return bounded
+	return truncated
 }
 
 func truncateReason(reason string) string {
@@ -115,50 +115,48 @@
 	if len(line) <= MaxReasonBytes {
 		return line
 	}
-	end := MaxReasonBytes
-	for !utf8.RuneStart(line[end]) {
-		end--
+	length := MaxReasonBytes
+	for !utf8.RuneStart(line[length]) {
+		length--
 	}
-	return line[:end]
+	return line[:length]
 }
 
-// PollPath is where a relay answers the polls of subscribers.
+// PollPath is where a relay serves the polls of subscribers, by POST.
 const PollPath = "/v1/configuration"
 
-// Poll is one long poll of a subscriber: it acknowledges what it has in force, and
-// asks for what is newer.
+// Poll is one long poll of a subscriber: it acknowledges the version that the
+// subscriber has applied, and requests what is newer.
 type Poll struct {
-	// Region is the name of the council whose configuration is wanted.
+	// Region is the name of the coordination cluster whose configuration is requested.
 	Region     string `json:"region"`
 	Subscriber string `json:"subscriber"`
 	// Services is the subscription; absent for all services, empty for none.
 	Services Subscription `json:"services,omitzero"`
-	// ServicesDigest stands in the place of Services in a poll of a subscriber that has
-	// named them to this relay before: a poll does not grow with its subscription. 0 for
-	// none.
+	// ServicesDigest replaces Services in a poll of a subscriber that has named them to
+	// this relay before, so that a poll does not grow with its subscription; 0 for none.
 	ServicesDigest uint64 `json:"services_digest,omitempty"`
-	// Version is the newest that the subscriber has taken; 0 where it holds nothing
-	// and wants a snapshot.
+	// Version is the newest that the subscriber has applied; 0 requests a snapshot.
 	Version Version `json:"version"`
-	// RejectedVersion are the resources of that version which it can't use.
+	// Rejected are the resources of that version which the subscriber can't use.
 	Rejected []Rejection `json:"rejected,omitempty"`
-	// WaitMS is for how long the answer may wait for news, in milliseconds.
+	// WaitMS is how long the response may wait for an update, in milliseconds.
 	WaitMS int `json:"wait_ms"`
 }
 
-// Wait is WaitMS as a duration, MaxWait at most.
+// Wait returns WaitMS as a duration from 0 to MaxWait.
 func (p *Poll) Wait() time.Duration {
 	return time.Duration(min(max(p.WaitMS, 0), int(MaxWait.Milliseconds()))) * time.Millisecond
 }
 
-// Validate tells what is wrong with a poll that was received. Reasons of rejections may
-// say anything: see TruncateRejections.
+// Validate checks a poll that was received. Reasons of rejections may be any text: see
+// TruncateRejections.
 func (p *Poll) Validate() error {
 	if err := ValidateName("subscriber", p.Subscriber); err != nil {
 		return err
 	}
 	if len(p.Rejected) > MaxServices {
-		return fmt.Errorf("rejected: found %d, wanted %d at most", len(p.Rejected), MaxServices)
+		return tooMany("rejected", len(p.Rejected), MaxServices)
 	}
 	for i := range p.Rejected {
 		if err := ValidateName("service", p.Rejected[i].Service); err != nil {
@@ -166,10 +164,10 @@
 		}
 	}
 	if p.WaitMS < 0 {
-		return fmt.Errorf("wait_ms: found %d, wanted 0 or more", p.WaitMS)
+		return invalid("wait_ms", fmt.Sprint(p.WaitMS), "0 or more")
 	}
 	if p.ServicesDigest != 0 && p.Services != nil {
-		return fmt.Errorf("services_digest: found it beside services, wanted one of them")
+		return invalid("services_digest", "it together with services", "one of them")
 	}
 	return p.Services.Validate()
 }
@@ -177,54 +175,41 @@
 // ErrorCode is why a relay has no update for a poll.
 type ErrorCode string
 
-// The refusals of a relay.
+// The error codes of a relay.
 const (
-	CodeNotReady    ErrorCode = "not_ready" // it has not heard from a council yet
-	CodeBehind      ErrorCode = "behind"    // the subscriber holds a newer version than the relay
-	CodeBusy        ErrorCode = "busy"      // too many snapshots under way: come again after RetryAfterMS
+	CodeNotReady    ErrorCode = "not_ready" // the relay has not contacted the coordination cluster yet
+	CodeBehind      ErrorCode = "behind"    // the subscriber has a newer version than the relay
+	CodeBusy        ErrorCode = "busy"      // too many snapshots in flight: retry after RetryAfterMS
 	CodeFull        ErrorCode = "full"      // too many subscribers
-	CodeDraining    ErrorCode = "draining"  // it ends: another relay is to be asked
-	CodeWrongRegion ErrorCode = "region"    // it serves another region
-	CodeInvalid     ErrorCode = "invalid"   // the poll can't be understood
-	// CodeUnknownServices is of a digest that the relay does not know: the same poll is
-	// to be sent again with its services.
+	CodeDraining    ErrorCode = "draining"  // the relay shuts down: poll another one
+	CodeWrongRegion ErrorCode = "region"    // the relay serves another region
+	CodeInvalid     ErrorCode = "invalid"   // the poll is malformed
+	// CodeUnknownServices is for a digest that the relay does not know: repeat the poll
+	// with its services.
 	CodeUnknownServices ErrorCode = "unknown_services"
 )
 
-// PollResponse is a relay's answer to a poll: an update, which may bring nothing new,
-// or a refusal.
+// PollResponse is a relay's response to a poll: an update, which may have no resources,
+// or an error code.
 type PollResponse struct {
 	Region string `json:"region"`
-	// AgeMS is how long ago the relay last heard from a council that has a leader, in
-	// milliseconds: its update lacks no change that is older.
+	// AgeMS is how long ago the relay last got a response from a cluster with a leader, in
+	// milliseconds: its update has all changes that are older.
 	AgeMS        int64     `json:"age_ms"`
 	Update       *Update   `json:"update,omitempty"`
 	ErrorCode    ErrorCode `json:"refusal,omitempty"`
-	Reason       string    `json:"reason,omitempty"`   // of the refusal, in one line
+	Reason       string    `json:"reason,omitempty"`   // details of ErrorCode, one line
 	RetryAfterMS int64     `json:"retry_ms,omitempty"` // with CodeBusy
 }
 
-// maxAge stands for all ages above it, and for one that makes no sense.
+// maxAge replaces longer ages and invalid ones.
 const maxAge = 365 * 24 * time.Hour
 
-// Age is AgeMS as a duration. A negative age makes no sense: the answer counts as
-// stale.
-func (a *PollResponse) Age() time.Duration {
-	if a.AgeMS < 0 || a.AgeMS > maxAge.Milliseconds() {
+// Age returns AgeMS as a duration. A negative age is invalid and counts as maxAge, so
+// that the response is stale.
+func (r *PollResponse) Age() time.Duration {
+	if r.AgeMS < 0 || r.AgeMS > maxAge.Milliseconds() {
 		return maxAge
 	}
-	return time.Duration(a.AgeMS) * time.Millisecond
-}
-
-// ValidateName holds a name against its bounds: 1 to MaxNameBytes printable ASCII bytes
-// without blanks.
-func ValidateName(what, name string) error {
-	good := name != "" && len(name) <= MaxNameBytes
-	for i := 0; good && i < len(name); i++ {
-		good = name[i] > ' ' && name[i] < 0x7f
-	}
-	if !good {
-		return fmt.Errorf("%s: found %.80q, wanted 1 to %d printable bytes without blanks", what, name, MaxNameBytes)
-	}
-	return nil
+	return time.Duration(r.AgeMS) * time.Millisecond
 }
--- a/internal/fleet/configuration/registry.go
+++ b/internal/fleet/configuration/registry.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// MaxSubscribers is how many subscribers a relay knows at a time.
+// MaxSubscribers is how many subscribers a relay registers at a time.
 const MaxSubscribers = 16 << 10
 
-// subscriberTTL is after what time a subscriber that does not poll is forgotten, and
-// expiryInterval how often they are looked for: not on each poll while there is no room.
 const (
-	subscriberTTL  = 15 * time.Minute
+	// subscriberTTL is the time without a poll after which a subscriber is removed.
+	subscriberTTL = 15 * time.Minute
+	// expiryInterval is the time between removals: a full registry is not searched on each poll.
 	expiryInterval = 10 * time.Second
 )
 
-// Registry remembers what each subscriber of a relay has acknowledged: a constant
-// amount for each, whatever has changed meanwhile.
+// Registry records what each subscriber of a relay has acknowledged, in constant space
+// per subscriber. It is not safe for concurrent use.
 type Registry struct {
 	subscribers map[string]*subscriberState
-	nextExpiry  time.Duration // when subscribers are forgotten next
+	nextExpiry  time.Duration
 }
 
 type subscriberState struct {
@@ -32,94 +32,85 @@
 	lastPoll time.Duration
 }
 
-// NewRegistry returns one that knows nobody.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{subscribers: map[string]*subscriberState{}} }
 
-// Record takes a poll that was checked. It returns false where there is no room for a
-// further subscriber.
-func (r *Registry) Record(now time.Duration, p *Poll) bool {
+// Record records a valid poll. It returns false if its subscriber is a new one and
+// MaxSubscribers are registered.
+func (r *Registry) Record(now time.Duration, poll *Poll) bool {
 	if now >= r.nextExpiry {
 		r.ExpireInactive(now)
 		r.nextExpiry = now + expiryInterval
 	}
-	known := r.subscribers[p.Subscriber]
-	if known == nil {
+	state := r.subscribers[poll.Subscriber]
+	if state == nil {
 		if len(r.subscribers) >= MaxSubscribers {
 			return false
 		}
-		known = &subscriberState{}
-		r.subscribers[p.Subscriber] = known
+		state = &subscriberState{}
+		r.subscribers[poll.Subscriber] = state
 	}
-	if (known.services == nil) != (p.Services == nil) || !slices.Equal(known.services, p.Services) {
-		known.services = slices.Clone(p.Services)
-		known.digest = known.services.Digest()
+	if (state.services == nil) != (poll.Services == nil) || !slices.Equal(state.services, poll.Services) {
+		state.services = slices.Clone(poll.Services)
+		state.digest = state.services.Digest()
 	}
-	known.version, known.rejected, known.lastPoll = p.Version, TruncateRejections(p.Rejected), now
+	state.version, state.rejected, state.lastPoll = poll.Version, TruncateRejections(poll.Rejected), now
 	return true
 }
 
-// ResolveDigest puts the services that a subscriber has named before in the place of their
-// digest. It returns false where they are not known.
-func (r *Registry) ResolveDigest(p *Poll) bool {
-	if p.ServicesDigest == 0 {
+// ResolveDigest replaces the digest of a poll by the services that its subscriber has
+// named before. It returns false if the digest is not the one of these.
+func (r *Registry) ResolveDigest(poll *Poll) bool {
+	if poll.ServicesDigest == 0 {
 		return true
 	}
-	known := r.subscribers[p.Subscriber]
-	if known == nil || known.digest != p.ServicesDigest {
+	state := r.subscribers[poll.Subscriber]
+	if state == nil || state.digest != poll.ServicesDigest {
 		return false
 	}
-	p.Services, p.ServicesDigest = known.services, 0
+	poll.Services, poll.ServicesDigest = state.services, 0
 	return true
 }
 
-// ExpireInactive drops the subscribers that have not polled for long.
+// ExpireInactive removes the subscribers that have not polled for a quarter of an hour.
 func (r *Registry) ExpireInactive(now time.Duration) {
-	maps.DeleteFunc(r.subscribers, func(_ string, s *subscriberState) bool { return now > s.lastPoll+subscriberTTL })
+	maps.DeleteFunc(r.subscribers, func(_ string, state *subscriberState) bool { return now > state.lastPoll+subscriberTTL })
 }
 
-// Len is how many subscribers are known.
+// Len returns how many subscribers are registered.
 func (r *Registry) Len() int { return len(r.subscribers) }
 
-// SubscriberStatus is how one subscriber stands to one service.
-type SubscriberStatus struct {
-	Subscriber string `json:"subscriber"`
-	// Version is the newest of the region that the subscriber has taken.
-	Version Version `json:"version"`
-	// RejectedVersion and Reason are of the service's version that it can't use; 0 for none.
-	RejectedVersion Version `json:"rejected,omitempty"`
-	Reason          string  `json:"reason,omitempty"`
-	// SinceLastPollMS is for how long the relay has not heard from it, in milliseconds.
-	SinceLastPollMS int64 `json:"silent_ms"`
-}
-
-// Status returns the subscribers of a service, by name.
+// Status returns the state of a service's subscribers, by name.
 func (r *Registry) Status(now time.Duration, service string) []SubscriberStatus {
 	var all []SubscriberStatus
-	for name, known := range r.subscribers {
-		if known.services != nil && !slices.Contains(known.services, service) {
+	for name, state := range r.subscribers {
+		if state.services != nil && !slices.Contains(state.services, service) {
 			continue
 		}
-		status := SubscriberStatus{Subscriber: name, Version: known.version, SinceLastPollMS: (now - known.lastPoll).Milliseconds()}
-		for _, rejection := range known.rejected {
+		status := SubscriberStatus{Subscriber: name, Version: state.version, SinceLastPollMS: (now - state.lastPoll).Milliseconds()}
+		for _, rejection := range state.rejected {
 			if rejection.Service == service {
 				status.RejectedVersion, status.Reason = rejection.Version, rejection.Reason
 			}
 		}
 		all = append(all, status)
 	}
-	slices.SortFunc(all, func(a, b SubscriberStatus) int { return cmp.Compare(a.Subscriber, b.Subscriber) })
+	slices.SortFunc(all, bySubscriber)
 	return all
 }
 
-// MergeStatus joins what several relays say: of each subscriber what was heard last.
+// MergeStatus merges what several relays report: of each subscriber its latest poll.
 func MergeStatus(relays ...[]SubscriberStatus) []SubscriberStatus {
-	newest := map[string]SubscriberStatus{}
+	latest := map[string]SubscriberStatus{}
 	for _, relay := range relays {
 		for _, status := range relay {
-			if known, found := newest[status.Subscriber]; !found || status.SinceLastPollMS < known.SinceLastPollMS {
-				newest[status.Subscriber] = status
+			if known, found := latest[status.Subscriber]; !found || status.SinceLastPollMS < known.SinceLastPollMS {
+				latest[status.Subscriber] = status
 			}
 		}
 	}
-	return slices.SortedFunc(maps.Values(newest), func(a, b SubscriberStatus) int { return cmp.Compare(a.Subscriber, b.Subscriber) })
+	return slices.SortedFunc(maps.Values(latest), bySubscriber)
 }
+
+// bySubscriber orders statuses by the subscribers' names.
+func bySubscriber(a, b SubscriberStatus) int { return cmp.Compare(a.Subscriber, b.Subscriber) }
--- a/internal/fleet/configuration/servicefile/servicefile.go
+++ b/internal/fleet/configuration/servicefile/servicefile.go
@@ -1,6 +1,6 @@
 // Package servicefile is the form in which operators write the settings of a
-// service: TOML, read strictly, for the JSON that a council agrees on and sidecars
-// take.
+// service: TOML, parsed strictly, for the JSON that a coordination cluster agrees on and
+// sidecars apply.
 //
 //	service = "mail"
 //
@@ -14,7 +14,8 @@
 //	worth = 2
 //	late_worth = 0.5
 //
-// A file without tenants leaves those of the sidecars; tenant = [] removes them.
+// A file without tenants leaves those of the sidecars unchanged; tenant = [] removes
+// them. Package configuration has the limits.
 package servicefile
 
 import (
@@ -28,25 +29,25 @@
 	"otterspring/internal/strictfile"
 )
 
-// File is a service and its settings, as they are sent to a council.
+// File is a service and its settings.
 type File struct {
 	Service  string
-	Settings json.RawMessage
+	Settings json.RawMessage // in the form of configuration.Settings
 }
 
-// document is what a file may hold. The keys that are refused stand in a sidecar's
-// own files and take force when it starts.
+// document is the format of a file. The keys that it refuses are those of a sidecar's
+// own files that take effect at a restart only.
 type document struct {
 	Service string   `toml:"service" need:"true"`
 	Tenants []tenant `toml:"tenant" max:"128"`
 	Classes []class  `toml:"class" max:"32"`
 
-	_ struct{} `toml:"limits" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"rules" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"extra" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"discovery" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"round" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"over_share_worth" refused:"it in the sidecars' files, and a roll"`
+	_ struct{} `toml:"limits" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"rules" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"extra" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"discovery" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"round" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"over_share_worth" refused:"it in the sidecars' files, with a rolling restart"`
 }
 
 type tenant struct {
@@ -55,59 +56,61 @@
 }
 
 type class struct {
-	Name      string `toml:"name" need:"true"`
-	Aim       aim    `toml:"aim"`
-	Worth     worth  `toml:"worth"`
-	LateWorth share  `toml:"late_worth"`
-
-	_ struct{} `toml:"deadline" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"aim_stretch" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"effect" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"group" refused:"it in the sidecars' files, and a roll"`
-	_ struct{} `toml:"window" refused:"it in the sidecars' files, and a roll"`
+	Name               string           `toml:"name" need:"true"`
+	LatencyObjective   optionalDuration `toml:"aim"`
+	PriorityWeight     optionalWeight   `toml:"worth"`
+	LatePriorityWeight optionalFraction `toml:"late_worth"`
+
+	_ struct{} `toml:"deadline" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"aim_stretch" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"effect" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"group" refused:"it in the sidecars' files, with a rolling restart"`
+	_ struct{} `toml:"window" refused:"it in the sidecars' files, with a rolling restart"`
 }
 
-// aim is a duration that a file may leave out.
-type aim struct{ microseconds *int64 }
+// optionalDuration is a duration of a latency objective; nil if the file has none.
+type optionalDuration struct{ microseconds *int64 }
 
-// UnmarshalText reads a duration of whole microseconds.
-func (a *aim) UnmarshalText(text []byte) error {
+// UnmarshalText parses a duration of whole microseconds up to
+// configuration.MaxLatencyObjective.
+func (d *optionalDuration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	if err != nil || value < 0 || value > configuration.MaxLatencyObjective || value%time.Microsecond != 0 {
 		return fmt.Errorf(`a duration of whole microseconds with its unit, like "250ms", of %v at most`, configuration.MaxLatencyObjective)
 	}
 	microseconds := value.Microseconds()
-	a.microseconds = &microseconds
+	d.microseconds = &microseconds
 	return nil
 }
 
-// worth is a number that a file may leave out.
-type worth struct{ value *float64 }
+// optionalWeight is a priority weight; nil if the file has none.
+type optionalWeight struct{ value *float64 }
 
-// UnmarshalText reads a number from 0 to configuration.MaxPriorityWeight.
-func (w *worth) UnmarshalText(text []byte) (err error) {
+// UnmarshalText parses a number from 0 to configuration.MaxPriorityWeight.
+func (w *optionalWeight) UnmarshalText(text []byte) (err error) {
 	w.value, err = parseNumber(text, configuration.MaxPriorityWeight)
 	return err
 }
 
-// share is a number from 0 to 1 that a file may leave out.
-type share struct{ value *float64 }
+// optionalFraction is a number from 0 to 1; nil if the file has none.
+type optionalFraction struct{ value *float64 }
 
-// UnmarshalText reads a number from 0 to 1.
-func (s *share) UnmarshalText(text []byte) (err error) {
-	s.value, err = parseNumber(text, 1)
+// UnmarshalText parses a number from 0 to 1.
+func (f *optionalFraction) UnmarshalText(text []byte) (err error) {
+	f.value, err = parseNumber(text, 1)
 	return err
 }
 
-func parseNumber(text []byte, most float64) (*float64, error) {
+func parseNumber(text []byte, limit float64) (*float64, error) {
 	value, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || !(value >= 0 && value <= most) {
-		return nil, fmt.Errorf("a number from 0 to %v", most)
+	if err != nil || !(value >= 0 && value <= limit) {
+		return nil, fmt.Errorf("a number from 0 to %v", limit)
 	}
 	return &value, nil
 }
 
-// Load reads a file and makes the checks that a council and a sidecar will make.
+// Load reads and parses a file, and validates it as a coordination cluster and a sidecar
+// will.
 func Load(path string) (*File, error) {
 	text, err := strictfile.Read(path)
 	if err != nil {
@@ -116,25 +119,26 @@
 	return Decode(path, text)
 }
 
-// Decode is Load for a text; name stands for the file in errors.
+// Decode is Load for the text of a file; name is the file's name in errors. Errors are
+// one line: a *strictfile.Error, or one that wraps a *configuration.ValidationError.
 func Decode(name string, text []byte) (*File, error) {
-	var d document
-	if err := strictfile.Decode(name, text, &d); err != nil {
+	var file document
+	if err := strictfile.Decode(name, text, &file); err != nil {
 		return nil, err
 	}
-	if err := configuration.ValidateName("service", d.Service); err != nil {
+	if err := configuration.ValidateName("service", file.Service); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	settings, err := encodeSettings(&d)
+	settings, err := encodeSettings(&file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return &File{Service: d.Service, Settings: settings}, nil
+	return &File{Service: file.Service, Settings: settings}, nil
 }
 
-// encodeSettings returns the JSON of a document's settings, where they are good.
-func encodeSettings(d *document) (json.RawMessage, error) {
-	text, err := json.Marshal(d.settings())
+// encodeSettings returns the JSON of a document's settings, if they are valid.
+func encodeSettings(file *document) (json.RawMessage, error) {
+	text, err := json.Marshal(file.settings())
 	if err == nil {
 		_, err = configuration.ParseSettings(text)
 	}
@@ -143,53 +147,57 @@
 
 func (d *document) settings() configuration.Settings {
 	var settings configuration.Settings
-	if d.Tenants != nil { // an empty list says that there are none, an absent one says nothing
+	if d.Tenants != nil { // an empty list removes the tenants, an absent one does not
 		settings.Tenants = []configuration.Tenant{}
 	}
 	if d.Classes != nil {
 		settings.Classes = []configuration.Class{}
 	}
-	for _, t := range d.Tenants {
-		settings.Tenants = append(settings.Tenants, configuration.Tenant{Name: t.Name, Quota: t.Quota})
+	for _, tenant := range d.Tenants {
+		settings.Tenants = append(settings.Tenants, configuration.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
-	for _, c := range d.Classes {
+	for _, class := range d.Classes {
 		settings.Classes = append(settings.Classes, configuration.Class{
-			Name: c.Name, LatencyObjectiveMicroseconds: c.Aim.microseconds, PriorityWeight: c.Worth.value, LatePriorityWeight: c.LateWorth.value,
+			Name:                         class.Name,
+			LatencyObjectiveMicroseconds: class.LatencyObjective.microseconds,
+			PriorityWeight:               class.PriorityWeight.value,
+			LatePriorityWeight:           class.LatePriorityWeight.value,
 		})
 	}
 	return settings
 }
 
-// Encode writes a service's settings as a file that Decode reads.
-func Encode(f *File) (string, error) {
-	settings, err := configuration.ParseSettings(f.Settings)
+// Encode returns the text of a file that Decode parses. Its error is the one of
+// configuration.ParseSettings.
+func Encode(file *File) (string, error) {
+	settings, err := configuration.ParseSettings(file.Settings)
 	if err != nil {
 		return "", err
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "service = %q\n", f.Service)
+	var text strings.Builder
+	fmt.Fprintf(&text, "service = %q\n", file.Service)
 	if settings.Tenants != nil && len(settings.Tenants) == 0 {
-		b.WriteString("tenant = []\n")
+		text.WriteString("tenant = []\n")
 	}
 	if settings.Classes != nil && len(settings.Classes) == 0 {
-		b.WriteString("class = []\n")
+		text.WriteString("class = []\n")
 	}
-	for _, t := range settings.Tenants {
-		fmt.Fprintf(&b, "\n[[tenant]]\nname = %q\nquota_per_s = %s\n", t.Name, number(t.Quota))
+	for _, tenant := range settings.Tenants {
+		fmt.Fprintf(&text, "\n[[tenant]]\nname = %q\nquota_per_s = %s\n", tenant.Name, formatNumber(tenant.Quota))
 	}
-	for _, c := range settings.Classes {
-		fmt.Fprintf(&b, "\n[[class]]\nname = %q\n", c.Name)
-		if c.LatencyObjectiveMicroseconds != nil {
-			fmt.Fprintf(&b, "aim = %q\n", time.Duration(*c.LatencyObjectiveMicroseconds)*time.Microsecond)
+	for _, class := range settings.Classes {
+		fmt.Fprintf(&text, "\n[[class]]\nname = %q\n", class.Name)
+		if class.LatencyObjectiveMicroseconds != nil {
+			fmt.Fprintf(&text, "aim = %q\n", time.Duration(*class.LatencyObjectiveMicroseconds)*time.Microsecond)
 		}
-		if c.PriorityWeight != nil {
-			fmt.Fprintf(&b, "worth = %s\n", number(*c.PriorityWeight))
+		if class.PriorityWeight != nil {
+			fmt.Fprintf(&text, "worth = %s\n", formatNumber(*class.PriorityWeight))
 		}
-		if c.LatePriorityWeight != nil {
-			fmt.Fprintf(&b, "late_worth = %s\n", number(*c.LatePriorityWeight))
+		if class.LatePriorityWeight != nil {
+			fmt.Fprintf(&text, "late_worth = %s\n", formatNumber(*class.LatePriorityWeight))
 		}
 	}
-	return b.String(), nil
+	return text.String(), nil
 }
 
-func number(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
+func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
--- a/internal/fleet/configuration/servicefile/servicefile_test.go
+++ b/internal/fleet/configuration/servicefile/servicefile_test.go
@@ -49,12 +49,12 @@
 		"":                                   "mail.toml: found no service",
 		"service = \"a b\"\n":                `mail.toml: service: found "a b"`,
 		head + "shares = 1\n":                "mail.toml:2: shares: found a key that is not known, wanted one of service, tenant, class",
-		head + "limits = 1\n":                "mail.toml:2: limits: found a key that is not taken here, wanted it in the sidecars' files, and a roll",
+		head + "limits = 1\n":                "mail.toml:2: limits: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart",
 		head + "[discovery]\nx = 1\n":        "mail.toml:2: discovery: found a key that is not taken here",
 		head + "[[tenant]]\nquota_per_s=1\n": "tenant[1]: found no name",
 		head + "[[tenant]]\nname=\"x\"\nquota_per_s = -1\n":         "mail.toml:4: tenant[1].quota_per_s: found -1, wanted 0 to 1e9",
 		head + "[[tenant]]\nname=\"x\"\n[[tenant]]\nname=\"x\"\n":   `mail.toml: tenants[1].name: found "x" twice`,
-		head + "[[class]]\nname=\"x\"\ndeadline = \"1s\"\n":         "mail.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, and a roll",
+		head + "[[class]]\nname=\"x\"\ndeadline = \"1s\"\n":         "mail.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart",
 		head + "[[class]]\nname=\"x\"\neffect = \"once\"\n":         "class[1].effect: found a key that is not taken here",
 		head + "[[class]]\nname=\"x\"\naim = 250\n":                 `class[1].aim: found 250, wanted a duration of whole microseconds with its unit`,
 		head + "[[class]]\nname=\"x\"\naim = \"1h\"\n":              `class[1].aim: found "1h", wanted a duration`,
@@ -100,12 +100,12 @@
 		}
 		for _, n := range rapid.SliceOfNDistinct(name, 0, 5, rapid.ID).Draw(t, "classes") {
 			c := class{Name: n}
-			if rapid.Bool().Draw(t, "has aim") {
-				c.Aim.microseconds = new(rapid.Int64Range(0, configuration.MaxLatencyObjective.Microseconds()).Draw(t, "aim"))
+			if rapid.Bool().Draw(t, "has objective") {
+				c.LatencyObjective.microseconds = new(rapid.Int64Range(0, configuration.MaxLatencyObjective.Microseconds()).Draw(t, "objective"))
 			}
-			if rapid.Bool().Draw(t, "has worth") {
-				c.Worth.value = new(rapid.Float64Range(0, configuration.MaxPriorityWeight).Draw(t, "worth"))
-				c.LateWorth.value = new(rapid.Float64Range(0, 1).Draw(t, "late worth"))
+			if rapid.Bool().Draw(t, "has weight") {
+				c.PriorityWeight.value = new(rapid.Float64Range(0, configuration.MaxPriorityWeight).Draw(t, "weight"))
+				c.LatePriorityWeight.value = new(rapid.Float64Range(0, 1).Draw(t, "late weight"))
 			}
 			d.Classes = append(d.Classes, c)
 		}
--- a/internal/fleet/configuration/settings.go
+++ b/internal/fleet/configuration/settings.go
@@ -7,20 +7,24 @@
 	"time"
 )
 
-// Bounds of one service's settings.
+// settingsPath is the path of the whole settings in errors. Paths of their members leave
+// it out.
+const settingsPath = "settings"
+
+// Limits of one service's settings.
 const (
 	MaxTenants          = 128
 	MaxClasses          = 32
 	MaxLatencyObjective = 10 * time.Minute
-	MaxQuota            = 1e9 // requests a second
+	MaxQuota            = 1e9 // requests per second
 	MaxPriorityWeight   = 1e9
 )
 
-// Settings are what a service's resource may say: what takes force in a running
-// sidecar. Absent fields leave the sidecar's own as they are.
+// Settings are the part of a service's settings that a running sidecar can apply.
+// Absent fields leave those of the sidecar's own files unchanged.
 type Settings struct {
-	// Tenants replace the sidecar's tenants and their shares; absent leaves them, an
-	// empty list removes them.
+	// Tenants replace the sidecar's tenants and their quotas; absent leaves them
+	// unchanged, an empty list removes them.
 	Tenants []Tenant `json:"tenants,omitzero"`
 	Classes []Class  `json:"classes,omitzero"`
 }
@@ -28,22 +32,23 @@
 // Tenant is a customer with its agreed rate.
 type Tenant struct {
 	Name string `json:"name"`
-	// Quota is in requests a second over all sidecars; 0 for none agreed.
+	// Quota is in requests per second over all sidecars; 0 for none.
 	Quota float64 `json:"quota-per-s"`
 }
 
-// Class is what may change of a class of requests that the sidecar knows.
+// Class has what may change of a request class of the sidecar's own files.
 type Class struct {
 	Name string `json:"name"`
-	// LatencyObjectiveMicroseconds is within what an answer earns the full worth.
+	// LatencyObjectiveMicroseconds is the latency up to which a response counts with the
+	// full PriorityWeight.
 	LatencyObjectiveMicroseconds *int64   `json:"aim-us,omitempty"`
 	PriorityWeight               *float64 `json:"worth,omitempty"`
-	// LatePriorityWeight is the share of the worth that is left after the aim, 0 to 1.
+	// LatePriorityWeight is the fraction of the weight that counts after that, 0 to 1.
 	LatePriorityWeight *float64 `json:"late-worth,omitempty"`
 }
 
-// Keys of a sidecar's settings that a running one can't take. A change of them is
-// refused, so that nobody waits for it to take force.
+// The restart keys are those of a sidecar's own files that a running one can't apply. A
+// change of them is rejected, since it would have no effect.
 var (
 	topKeys          = []string{"tenants", "classes"}
 	tenantKeys       = []string{"name", "quota-per-s"}
@@ -52,15 +57,15 @@
 	restartClassKeys = []string{"deadline-us", "aim-stretch", "effect", "group", "window-us"} // of a class
 )
 
-// ParseSettings reads a service's settings strictly and checks them. The error is one
-// line: which key, what was found and what is wanted. A council's member makes this
-// check before it proposes a change, and a sidecar before it takes one.
+// ParseSettings parses a service's settings strictly and validates them. The error is
+// one line, in most cases a *ValidationError. A cluster member validates a change with
+// it before proposing it, and a sidecar before applying it.
 func ParseSettings(text []byte) (Settings, error) {
 	canonical, err := canonicalSettings(text)
 	if err != nil {
 		return Settings{}, err
 	}
-	members, err := readObject("settings", canonical)
+	members, err := readObject(settingsPath, canonical)
 	if err != nil {
 		return Settings{}, err
 	}
@@ -72,7 +77,7 @@
 		case "classes":
 			settings.Classes, err = readClasses(member.value)
 		default:
-			err = unknownKeyError(memberPath("settings", member.key), member.key, topKeys, restartKeys)
+			err = unknownKeyError(memberPath(settingsPath, member.key), member.key, topKeys, restartKeys)
 		}
 		if err != nil {
 			return Settings{}, err
@@ -82,28 +87,29 @@
 }
 
 // canonicalSettings returns settings in the form in which they are stored and sent.
-// Their size is bounded in this form: the one of the file may be shorter, since JSON
-// that is sent escapes some characters.
+// Their size is limited in this form, too: it may be longer than the original, since
+// json.Marshal escapes some characters.
 func canonicalSettings(text []byte) (json.RawMessage, error) {
 	if len(text) > MaxSettingsBytes {
-		return nil, fmt.Errorf("settings: found %d bytes, wanted %d at most", len(text), MaxSettingsBytes)
+		return nil, tooLarge(settingsPath, len(text), "", MaxSettingsBytes)
 	}
 	canonical, err := json.Marshal(json.RawMessage(text))
 	if err != nil || len(text) == 0 {
-		return nil, fmt.Errorf("settings: found %s, wanted a JSON object and nothing behind it", excerpt(text))
+		return nil, invalid(settingsPath, excerpt(text), "a JSON object and nothing after it")
 	}
 	if len(canonical) > MaxSettingsBytes {
-		return nil, fmt.Errorf("settings: found %d bytes as they are sent, wanted %d at most", len(canonical), MaxSettingsBytes)
+		return nil, tooLarge(settingsPath, len(canonical), " as they are sent", MaxSettingsBytes)
 	}
 	return canonical, nil
 }
 
-// unknownKeyError is the error for a key that is not one of those known.
-func unknownKeyError(place, key string, known, roll []string) error {
-	if slices.Contains(roll, key) {
-		return fmt.Errorf("%s: found a change that takes force at a start only, wanted one of %q: change the files and roll", place, known)
+// unknownKeyError returns the error for a key that is not one of the known ones.
+func unknownKeyError(path, key string, known, restartKeys []string) error {
+	expected := fmt.Sprintf("one of %q", known)
+	if slices.Contains(restartKeys, key) {
+		return invalid(path, "a change that takes effect at a restart only", expected+": change the files and do a rolling restart")
 	}
-	return fmt.Errorf("%s: found an unknown key, wanted one of %q", place, known)
+	return invalid(path, "an unknown key", expected)
 }
 
 func readTenants(text json.RawMessage) ([]Tenant, error) {
@@ -113,31 +119,31 @@
 	}
 	tenants, names := make([]Tenant, len(elements)), map[string]bool{}
 	for i, element := range elements {
-		place := fmt.Sprintf("tenants[%d]", i)
-		if err := tenants[i].read(place, element); err != nil {
+		path := fmt.Sprintf("tenants[%d]", i)
+		if err := tenants[i].read(path, element); err != nil {
 			return nil, err
 		}
-		if err := validateEntryName(place+".name", tenants[i].Name, names); err != nil {
+		if err := validateEntryName(path+".name", tenants[i].Name, names); err != nil {
 			return nil, err
 		}
 	}
 	return tenants, nil
 }
 
-func (t *Tenant) read(place string, text json.RawMessage) error {
-	members, err := readObject(place, text)
+func (t *Tenant) read(path string, text json.RawMessage) error {
+	members, err := readObject(path, text)
 	if err != nil {
 		return err
 	}
 	for _, member := range members {
-		at := memberPath(place, member.key)
+		memberPath := memberPath(path, member.key)
 		switch member.key {
 		case "name":
-			t.Name, err = readString(at, member.value)
+			t.Name, err = readString(memberPath, member.value)
 		case "quota-per-s":
-			t.Quota, err = readNumber(at, member.value, MaxQuota)
+			t.Quota, err = readNumber(memberPath, member.value, MaxQuota)
 		default:
-			err = unknownKeyError(at, member.key, tenantKeys, nil)
+			err = unknownKeyError(memberPath, member.key, tenantKeys, nil)
 		}
 		if err != nil {
 			return err
@@ -153,55 +159,55 @@
 	}
 	classes, names := make([]Class, len(elements)), map[string]bool{}
 	for i, element := range elements {
-		place := fmt.Sprintf("classes[%d]", i)
-		if err := classes[i].read(place, element); err != nil {
+		path := fmt.Sprintf("classes[%d]", i)
+		if err := classes[i].read(path, element); err != nil {
 			return nil, err
 		}
-		if err := validateEntryName(place+".name", classes[i].Name, names); err != nil {
+		if err := validateEntryName(path+".name", classes[i].Name, names); err != nil {
 			return nil, err
 		}
 	}
 	return classes, nil
 }
 
-func (c *Class) read(place string, text json.RawMessage) error {
-	members, err := readObject(place, text)
+func (c *Class) read(path string, text json.RawMessage) error {
+	members, err := readObject(path, text)
 	if err != nil {
 		return err
 	}
 	for _, member := range members {
-		if err := c.readMember(memberPath(place, member.key), member); err != nil {
+		if err := c.readMember(memberPath(path, member.key), member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Class) readMember(place string, member objectMember) (err error) {
+func (c *Class) readMember(path string, member objectMember) (err error) {
 	switch member.key {
 	case "name":
-		c.Name, err = readString(place, member.value)
+		c.Name, err = readString(path, member.value)
 	case "aim-us":
 		c.LatencyObjectiveMicroseconds = new(int64)
-		*c.LatencyObjectiveMicroseconds, err = readInteger(place, member.value, MaxLatencyObjective.Microseconds())
+		*c.LatencyObjectiveMicroseconds, err = readInteger(path, member.value, MaxLatencyObjective.Microseconds())
 	case "worth":
 		c.PriorityWeight = new(float64)
-		*c.PriorityWeight, err = readNumber(place, member.value, MaxPriorityWeight)
+		*c.PriorityWeight, err = readNumber(path, member.value, MaxPriorityWeight)
 	case "late-worth":
 		c.LatePriorityWeight = new(float64)
-		*c.LatePriorityWeight, err = readNumber(place, member.value, 1)
+		*c.LatePriorityWeight, err = readNumber(path, member.value, 1)
 	default:
-		err = unknownKeyError(place, member.key, classKeys, restartClassKeys)
+		err = unknownKeyError(path, member.key, classKeys, restartClassKeys)
 	}
 	return err
 }
 
-func validateEntryName(place, name string, seen map[string]bool) error {
-	if err := ValidateName(place, name); err != nil {
+func validateEntryName(path, name string, seen map[string]bool) error {
+	if err := ValidateName(path, name); err != nil {
 		return err
 	}
 	if seen[name] {
-		return fmt.Errorf("%s: found %q twice, wanted each once", place, name)
+		return invalid(path, fmt.Sprintf("%q twice", name), "each once")
 	}
 	seen[name] = true
 	return nil
--- a/internal/fleet/configuration/settings_test.go
+++ b/internal/fleet/configuration/settings_test.go
@@ -9,14 +9,15 @@
 )
 
 func TestParseSettings(t *testing.T) {
-	aim, worth, late, zero := int64(2500), 3.5, 0.25, 0.0
+	const blanks = " \n\t"
+	objective, weight, late, zero := int64(2500), 3.5, 0.25, 0.0
 	cases := map[string]Settings{
-		`{}`:             {},
-		" \n{ }\t":       {},
-		`{"tenants":[]}`: {Tenants: []Tenant{}},
-		`{"classes":[]}`: {Classes: []Class{}},
+		`{}`:                    {},
+		blanks + `{ }` + blanks: {},
+		`{"tenants":[]}`:        {Tenants: []Tenant{}},
+		`{"classes":[]}`:        {Classes: []Class{}},
 		`{"tenants":[{"name":"a","quota-per-s":10},{"quota-per-s":2.5e1,"name":"b"},{"name":"c"}]}`: {Tenants: []Tenant{{"a", 10}, {"b", 25}, {"c", 0}}},
-		`{"classes":[{"name":"call","aim-us":2500,"worth":3.5,"late-worth":0.25},{"name":"x"}]}`:    {Classes: []Class{{"call", &aim, &worth, &late}, {Name: "x"}}},
+		`{"classes":[{"name":"call","aim-us":2500,"worth":3.5,"late-worth":0.25},{"name":"x"}]}`:    {Classes: []Class{{"call", &objective, &weight, &late}, {Name: "x"}}},
 		`{"classes":[{"name":"x","worth":0}],"tenants":[]}`:                                         {Classes: []Class{{Name: "x", PriorityWeight: &zero}}, Tenants: []Tenant{}},
 		`{"tenants":[{"\u006eame":"a"}]}`:                                                           {Tenants: []Tenant{{"a", 0}}},
 	}
@@ -44,8 +45,8 @@
 	}{
 		{"nothing", ``, []string{"settings:", `found ""`, "JSON object"}},
 		{"no JSON", `{"tenants":`, []string{"settings:", "JSON object"}},
-		{"text behind", `{} {}`, []string{"settings:", "nothing behind"}},
-		{"a word behind", `{}x`, []string{"settings:", "nothing behind"}},
+		{"text after it", `{} {}`, []string{"settings:", "nothing after it"}},
+		{"a letter after it", `{}x`, []string{"settings:", "nothing after it"}},
 		{"null", `null`, []string{"settings:", `"null"`, "JSON object"}},
 		{"a list", `[]`, []string{"settings:", "JSON object"}},
 		{"a string", `"{}"`, []string{"settings:", "JSON object"}},
@@ -56,9 +57,9 @@
 		{"a long key", `{"` + strings.Repeat("k", 5000) + `":1}`, []string{"unknown key"}},
 		{"a key of another case", `{"Tenants":[]}`, []string{"Tenants:", "unknown key"}},
 		{"a key that folds to another", `{"claſses":[]}`, []string{"unknown key"}},
-		{"a key that wants a roll", `{"limits":{}}`, []string{"limits:", "at a start only", "roll"}},
-		{"a class's key that wants a roll", classes(`{"name":"a","deadline-us":5}`), []string{"classes[0].deadline-us:", "at a start only", "roll"}},
-		{"a roll's key of a tenant", tenants(`{"name":"b","limits":5}`), []string{"tenants[1].limits:", "unknown key"}},
+		{"a key that needs a restart", `{"limits":{}}`, []string{"limits:", "at a restart only", "rolling restart"}},
+		{"a class's key that needs a restart", classes(`{"name":"a","deadline-us":5}`), []string{"classes[0].deadline-us:", "at a restart only", "rolling restart"}},
+		{"a restart key of a tenant", tenants(`{"name":"b","limits":5}`), []string{"tenants[1].limits:", "unknown key"}},
 		{"a key twice", `{"tenants":[],"tenants":[{"name":"a"}]}`, []string{"tenants:", "key twice", "once"}},
 		{"a key twice by an escape", `{"tenants":[],"t\u0065nants":[]}`, []string{"tenants:", "key twice"}},
 		{"a tenant's key twice", tenants(`{"name":"b","name":"c"}`), []string{"tenants[1].name:", "key twice"}},
@@ -75,19 +76,19 @@
 		{"a name with a blank", tenants(`{"name":"b c"}`), []string{"tenants[1].name:", `"b c"`, "without blanks"}},
 		{"a long name", tenants(`{"name":"` + strings.Repeat("n", 65) + `"}`), []string{"tenants[1].name:", "wanted 1 to 64"}},
 		{"a name twice", tenants(`{"name":"a"}`), []string{"tenants[1].name:", `"a" twice`, "once"}},
-		{"a share below zero", tenants(`{"name":"b","quota-per-s":-0.5}`), []string{"tenants[1].quota-per-s:", `"-0.5"`, "0 to 1e+09"}},
-		{"a share above all", tenants(`{"name":"b","quota-per-s":1e10}`), []string{"tenants[1].quota-per-s:", `"1e10"`, "0 to 1e+09"}},
-		{"a share beyond numbers", tenants(`{"name":"b","quota-per-s":1e999}`), []string{"tenants[1].quota-per-s:", `"1e999"`, "0 to 1e+09"}},
-		{"a share of text", tenants(`{"name":"b","quota-per-s":"1"}`), []string{"tenants[1].quota-per-s:", "number"}},
-		{"a share of null", tenants(`{"name":"b","quota-per-s":null}`), []string{"tenants[1].quota-per-s:", `"null"`, "number"}},
-		{"a share of true", tenants(`{"name":"b","quota-per-s":true}`), []string{"tenants[1].quota-per-s:", "number"}},
-		{"an aim below zero", classes(`{"name":"a","aim-us":-1}`), []string{"classes[0].aim-us:", `"-1"`, "0 to 600000000"}},
-		{"an aim above all", classes(`{"name":"a","aim-us":600000001}`), []string{"classes[0].aim-us:", "0 to 600000000"}},
-		{"an aim with a part", classes(`{"name":"a","aim-us":1.5}`), []string{"classes[0].aim-us:", `"1.5"`, "whole number"}},
-		{"an aim beyond numbers", classes(`{"name":"a","aim-us":99999999999999999999}`), []string{"classes[0].aim-us:", "whole number"}},
-		{"an aim of null", classes(`{"name":"a","aim-us":null}`), []string{"classes[0].aim-us:", `"null"`, "whole number"}},
-		{"a worth below zero", classes(`{"name":"a","worth":-3}`), []string{"classes[0].worth:", `"-3"`, "0 to 1e+09"}},
-		{"a late worth above one", classes(`{"name":"a","late-worth":1.01}`), []string{"classes[0].late-worth:", `"1.01"`, "0 to 1"}},
+		{"a quota below zero", tenants(`{"name":"b","quota-per-s":-0.5}`), []string{"tenants[1].quota-per-s:", `"-0.5"`, "0 to 1e+09"}},
+		{"a quota above its limit", tenants(`{"name":"b","quota-per-s":1e10}`), []string{"tenants[1].quota-per-s:", `"1e10"`, "0 to 1e+09"}},
+		{"a quota that overflows", tenants(`{"name":"b","quota-per-s":1e999}`), []string{"tenants[1].quota-per-s:", `"1e999"`, "0 to 1e+09"}},
+		{"a quota of text", tenants(`{"name":"b","quota-per-s":"1"}`), []string{"tenants[1].quota-per-s:", "number"}},
+		{"a quota of null", tenants(`{"name":"b","quota-per-s":null}`), []string{"tenants[1].quota-per-s:", `"null"`, "number"}},
+		{"a quota of true", tenants(`{"name":"b","quota-per-s":true}`), []string{"tenants[1].quota-per-s:", "number"}},
+		{"an objective below zero", classes(`{"name":"a","aim-us":-1}`), []string{"classes[0].aim-us:", `"-1"`, "0 to 600000000"}},
+		{"an objective above its limit", classes(`{"name":"a","aim-us":600000001}`), []string{"classes[0].aim-us:", "0 to 600000000"}},
+		{"an objective with a fraction", classes(`{"name":"a","aim-us":1.5}`), []string{"classes[0].aim-us:", `"1.5"`, "whole number"}},
+		{"an objective that overflows", classes(`{"name":"a","aim-us":99999999999999999999}`), []string{"classes[0].aim-us:", "whole number"}},
+		{"an objective of null", classes(`{"name":"a","aim-us":null}`), []string{"classes[0].aim-us:", `"null"`, "whole number"}},
+		{"a weight below zero", classes(`{"name":"a","worth":-3}`), []string{"classes[0].worth:", `"-3"`, "0 to 1e+09"}},
+		{"a late weight above one", classes(`{"name":"a","late-worth":1.01}`), []string{"classes[0].late-worth:", `"1.01"`, "0 to 1"}},
 		{"a class's name twice", classes(`{"name":"a"},{"name":"a"}`), []string{"classes[1].name:", `"a" twice`}},
 		{"too many tenants", manyOf("tenants", MaxTenants+1), []string{"tenants:", "found 129, wanted 128"}},
 		{"too many classes", manyOf("classes", MaxClasses+1), []string{"classes:", "found 33, wanted 32"}},
@@ -100,7 +101,7 @@
 			settings, err := ParseSettings([]byte(c.text))
 			oneLine(t, err, append(c.parts, "found", "wanted")...)
 			if settings.Tenants != nil || settings.Classes != nil {
-				t.Errorf("found %+v beside the error, wanted nothing", settings)
+				t.Errorf("found %+v with the error, wanted nothing", settings)
 			}
 		})
 	}
--- a/internal/fleet/configuration/version.go
+++ b/internal/fleet/configuration/version.go
@@ -1,15 +1,17 @@
 // Package configuration decides how the settings of services reach all sidecars of
-// a region: what a change may say, which version it gets, what a subscriber is sent,
-// when it may be sent a snapshot, and which relay a subscriber asks. It does no I/O
-// and reads no clock. docs/design/configuration.md has the reasons.
+// a region: which changes are valid, which version a change gets, what a subscriber
+// is sent, when it may be sent a snapshot, and which relay a subscriber polls. It
+// does no I/O and reads no clock: callers pass the time as a duration since an origin
+// of their own. None of its types locks; each belongs to one goroutine or to its
+// caller's lock. docs/design/configuration.md has the reasons.
 //
 // The parts and who uses them:
 //
-//	Store       the agreed resources and their versions   a council's state
+//	Store       the agreed resources and their versions   state of a coordination cluster
 //	Cache       the newest resources that were received   relays, sidecars
-//	Admission   a bound on snapshots under way            relays
+//	Admission   a bound on snapshots in flight            relays
 //	Registry    what each subscriber acknowledged         relays
-//	Subscriber  which relay is asked, and when            sidecars
+//	Subscriber  which relay is polled, and when           sidecars
 package configuration
 
 import (
@@ -19,24 +21,25 @@
 )
 
 // Version numbers the changes of a region's configuration, all services together.
-// Its upper half is the epoch space of the council that agreed on the change: a
-// council that was restored from a snapshot begins a new one, so that a version is
-// never given out twice. 0 is no version.
+// Its upper half is the token space of the coordination cluster that agreed on the
+// change: a cluster that was restored from a snapshot starts a new one, so that no
+// version is assigned twice. 0 is no version.
 type Version uint64
 
-// NewVersion returns the version of a change: its number within an epoch space.
+// NewVersion returns the version of a change: its number within a token space.
 func NewVersion(space, number uint32) Version { return Version(space)<<32 | Version(number) }
 
-// TokenSpace returns the epoch space.
+// TokenSpace returns the token space.
 func (v Version) TokenSpace() uint32 { return uint32(v >> 32) }
 
-// Number returns the number within the epoch space.
+// Number returns the number within the token space.
 func (v Version) Number() uint32 { return uint32(v) }
 
-// String writes a version as SPACE.NUMBER.
+// String returns a version as SPACE.NUMBER.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.TokenSpace(), v.Number()) }
 
-// ParseVersion reads what String writes; "0" is no version.
+// ParseVersion parses what String returns; "0" is no version. Its error is a
+// *ValidationError.
 func ParseVersion(text string) (Version, error) {
 	if text == "0" {
 		return 0, nil
@@ -45,7 +48,7 @@
 	upper, errUpper := strconv.ParseUint(space, 10, 32)
 	lower, errLower := strconv.ParseUint(number, 10, 32)
 	if !found || errUpper != nil || errLower != nil {
-		return 0, fmt.Errorf("version: found %q, wanted SPACE.NUMBER, such as 1.42", text)
+		return 0, invalid("version", fmt.Sprintf("%q", text), "SPACE.NUMBER, such as 1.42")
 	}
 	return NewVersion(uint32(upper), uint32(lower)), nil
 }
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -130,7 +130,7 @@
 		`{"region":"west"}`:               "subscriber: found \"\"",
 		`{"region":"west","version":"1"}`: "cannot unmarshal",
 		`{"region":"west","subscriber":"s","wait_ms":-1}`:                      "wait_ms: found -1",
-		`{"region":"west","subscriber":"s","services":[],"services_digest":1}`: "services_digest: found it beside services",
+		`{"region":"west","subscriber":"s","services":[],"services_digest":1}`: "services_digest: found it together with services",
 		`{"region":"` + strings.Repeat("w", 64<<10) + `"}`:                     "wanted 65536 at most",
 		`{"region":"west","subscriber":"s","services":["a b"]}`:                "services[0]",
 	} {
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -158,9 +158,9 @@
 	{Name: "admission-off", Played: scaleFaults, File: "internal/fleet/configuration/admission.go", Breaks: "a relay sends any number of snapshots at a time",
 		Old: "len(a.slots) >= a.settings.Slots {\n\t\ta.expectedRetries.current++", New: "len(a.slots) >= MaxSubscribers {\n\t\ta.expectedRetries.current++"},
 	{Name: "compare-and-set-off", Played: scaleFaults, File: "internal/fleet/configuration/store.go", Breaks: "of two operators who change the same version both win",
-		Old: "case resource != nil && c.IfVersion != nil && *c.IfVersion != resource.Version:", New: "case resource != nil && c.IfVersion != nil && resource.Version == 0:"},
+		Old: "case resource != nil && change.IfVersion != nil && *change.IfVersion != resource.Version:", New: "case resource != nil && change.IfVersion != nil && resource.Version == 0:"},
 	{Name: "late-answer-taken", File: "internal/fleet/configuration/cache.go", Breaks: "a late relay answers who is ahead of it, and its answer is taken",
-		Old: "\tif u.Version < c.version {\n", New: "\tif u.Version == 0 && c.version > 0 {\n",
+		Old: "\tif update.Version < c.version {\n", New: "\tif update.Version == 0 && c.version > 0 {\n",
 		Also: []Edit{
 			{File: "internal/fleet/configuration/cache.go", Old: "if u.From > u.Version || u.From != 0", New: "if u.From != 0"},
 			{File: "internal/fleet/relay/feed.go", Old: "case w.poll.Version > held:", New: "case held == 0 && w.poll.Version > held:"},
--- a/internal/sidecar/overlay_test.go
+++ b/internal/sidecar/overlay_test.go
@@ -71,7 +71,7 @@
 		{"not JSON, last good stays", []serviceState{{"s", held(2, `{"classes":`), good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{"s: settings: found"}},
 		{"wants a roll", []serviceState{{"s", held(2, `{"limits":{}}`), good}},
-			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{"s: limits: found a change that takes force at a start only"}},
+			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{"s: limits: found a change that takes effect at a restart only"}},
 		{"newer replaces the last good whole", []serviceState{{"s", held(2, `{"classes":[{"name":"read","worth":9}]}`), good}},
 			"read 100 9 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", nil},
 		{"class set by two, the first gets it", []serviceState{{"s", held(1, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", held(2, `{"classes":[{"name":"read","worth":5}]}`), nil}},
