--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -225,7 +225,7 @@
 			last = line
 		}
 		for _, o := range a.State.Orders {
-			if o.ID == id && o.End == "done" {
+			if o.ID == id && o.End == rollout.ResultDone {
 				fmt.Fprintln(out, "done")
 				return nil
 			} else if o.ID == id && o.End != "" {
--- a/internal/fleet/rollout/recording_test.go
+++ b/internal/fleet/rollout/recording_test.go
@@ -19,8 +19,8 @@
 		rng := rand.New(rand.NewPCG(seed, 11))
 		var decisions strings.Builder
 		for range 100 {
-			d := recordedDecision(rng)
-			fmt.Fprintf(&decisions, "%v %t %t %t %d %d\n", d.Steps, d.Result != "", d.Waiting != "", d.RollBack, d.Completed, d.Total)
+			decision := recordedDecision(rng)
+			fmt.Fprintf(&decisions, "%v %t %t %t %d %d\n", decision.Steps, decision.Result != "", decision.Waiting != "", decision.RollBack, decision.Completed, decision.Total)
 		}
 		fmt.Fprintf(&recording, "%d %x\n", seed, sha256.Sum256([]byte(decisions.String())))
 	}
@@ -39,28 +39,28 @@
 }
 
 func recordedDecision(rng *rand.Rand) Decision {
-	order := Request{MaxConcurrent: rng.IntN(4), MaxConcurrentPerZone: rng.IntN(3), Reload: rng.IntN(3) == 0}
+	request := Request{MaxConcurrent: rng.IntN(4), MaxConcurrentPerZone: rng.IntN(3), Reload: rng.IntN(3) == 0}
 	if rng.IntN(2) == 0 {
-		order.Program = "new"
+		request.Program = "new"
 	}
-	note := Checkpoint{RolloutID: "o1", RollingBack: rng.IntN(3) == 0, PreviousPrograms: map[string]string{}}
-	orders := []string{"", "o0", "o1", RollbackID("o1")}
+	checkpoint := Checkpoint{RolloutID: "o1", RollingBack: rng.IntN(3) == 0, PreviousPrograms: map[string]string{}}
+	rolloutIDs := []string{"", "o0", "o1", RollbackID("o1")}
 	failing := rng.IntN(3) == 0
 	var hosts []HostStatus
 	for h := range rng.IntN(6) {
 		host := HostStatus{Name: fmt.Sprintf("h%d", 5-h), Zone: fmt.Sprint(rng.IntN(3)), Contacted: rng.IntN(20) > 0}
-		note.PreviousPrograms[host.Name] = "old" + host.Name
+		checkpoint.PreviousPrograms[host.Name] = "old" + host.Name
 		if rng.IntN(5) == 0 {
 			host.LocalUpdate = "restart"
 		}
 		for i := range rng.IntN(4) {
-			instance := InstanceStatus{Name: fmt.Sprint(i), Ready: rng.IntN(5) > 0, RolloutID: orders[rng.IntN(len(orders))]}
+			instance := InstanceStatus{Name: fmt.Sprint(i), Ready: rng.IntN(5) > 0, RolloutID: rolloutIDs[rng.IntN(len(rolloutIDs))]}
 			if failing && rng.IntN(6) == 0 {
-				instance.FailedRolloutID = orders[rng.IntN(len(orders))]
+				instance.FailedRolloutID = rolloutIDs[rng.IntN(len(rolloutIDs))]
 			}
 			host.Instances = append(host.Instances, instance)
 		}
 		hosts = append(hosts, host)
 	}
-	return Decide("o1", order, note, hosts)
+	return Decide("o1", request, checkpoint, hosts)
 }
