--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -16,8 +16,8 @@
 	"otterspring/internal/cli"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/configuration/servicefile"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/council/node"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
 )
 
 // errConflict is a change that was made for another version than the service has.
@@ -54,7 +54,7 @@
 }
 
 // configVerb is a verb of config that takes a number of words.
-func (o *configOptions) configVerb(use, short string, words int, do func(ctx context.Context, f *node.File, words []string) error) *cobra.Command {
+func (o *configOptions) configVerb(use, short string, words int, do func(ctx context.Context, f *server.Config, words []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		if len(args) != words {
@@ -66,7 +66,7 @@
 		if o.timeout <= 0 {
 			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, c.Name(), o.timeout)
 		}
-		f, err := node.LoadFile(o.councilPath)
+		f, err := server.LoadConfig(o.councilPath)
 		if err != nil {
 			return err
 		}
@@ -78,8 +78,8 @@
 }
 
 // ofService is a verb of config that takes the name of a service, which shells complete.
-func (o *configOptions) ofService(use, short string, do func(ctx context.Context, f *node.File, service string) error) *cobra.Command {
-	c := o.configVerb(use, short, 1, func(ctx context.Context, f *node.File, words []string) error { return do(ctx, f, words[0]) })
+func (o *configOptions) ofService(use, short string, do func(ctx context.Context, f *server.Config, service string) error) *cobra.Command {
+	c := o.configVerb(use, short, 1, func(ctx context.Context, f *server.Config, words []string) error { return do(ctx, f, words[0]) })
 	c.ValidArgsFunction = func(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
 		if len(args) > 0 {
 			return nil, cobra.ShellCompDirectiveNoFileComp
@@ -91,13 +91,13 @@
 
 // serviceNames are the services that a council knows; none where it does not answer.
 func (o *configOptions) serviceNames() []string {
-	f, err := node.LoadFile(o.councilPath)
+	f, err := server.LoadConfig(o.councilPath)
 	if err != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
 	defer cancel()
-	a, err := askConfiguration(ctx, f, ask.Question{Kind: ask.Resource})
+	a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
 	if err != nil {
 		return nil
 	}
@@ -106,8 +106,8 @@
 
 // askConfiguration asks a council what may be asked twice, until it answers or ctx
 // ends. An answer that is not known is asked for again.
-func askConfiguration(ctx context.Context, f *node.File, q ask.Question) (*ask.Answer, error) {
-	client := ask.NewClient(f.Name, f.Addresses())
+func askConfiguration(ctx context.Context, f *server.Config, q client.Request) (*client.Response, error) {
+	client := client.NewClient(f.Name, f.Addresses())
 	defer client.Close()
 	for {
 		tryCtx, cancel := context.WithTimeout(ctx, configTryTimeout)
@@ -115,9 +115,9 @@
 		cancel()
 		switch {
 		case err == nil && a.Conflict:
-			return nil, fmt.Errorf("%w: %s", errConflict, a.Refused)
-		case err == nil && a.Refused != "":
-			return nil, errors.New(a.Refused)
+			return nil, fmt.Errorf("%w: %s", errConflict, a.Rejection)
+		case err == nil && a.Rejection != "":
+			return nil, errors.New(a.Rejection)
 		case err == nil:
 			return a, nil
 		}
@@ -152,12 +152,12 @@
 // configPut changes a service's settings.
 func configPut(o *configOptions) *cobra.Command {
 	var ifVersion, id string
-	c := o.configVerb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, f *node.File, words []string) error {
+	c := o.configVerb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, f *server.Config, words []string) error {
 		change, err := newChange(words[0], id, ifVersion)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, ask.Question{Kind: ask.Configure, Change: change})
+		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ChangeConfiguration, Change: change})
 		var unanswered *unansweredError
 		if errors.As(err, &unanswered) {
 			return fmt.Errorf("service %s: not known whether it was changed: %w; the same with -id %s tells, and changes it once", change.Service, err, change.ID)
@@ -213,8 +213,8 @@
 
 // configGet prints a service's settings as a file that put takes.
 func configGet(o *configOptions) *cobra.Command {
-	return o.ofService("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, f *node.File, service string) error {
-		a, err := askConfiguration(ctx, f, ask.Question{Kind: ask.Resource, Service: service})
+	return o.ofService("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, f *server.Config, service string) error {
+		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
@@ -244,8 +244,8 @@
 
 // configList prints the services of a council.
 func configList(o *configOptions) *cobra.Command {
-	return o.configVerb("list", "print all services with their versions", 0, func(ctx context.Context, f *node.File, _ []string) error {
-		a, err := askConfiguration(ctx, f, ask.Question{Kind: ask.Resource})
+	return o.configVerb("list", "print all services with their versions", 0, func(ctx context.Context, f *server.Config, _ []string) error {
+		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
 		if err != nil {
 			return err
 		}
--- a/cmd/otterspring/config_status.go
+++ b/cmd/otterspring/config_status.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/council/node"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
 )
 
 // Bounds of the status of a service.
@@ -74,12 +74,12 @@
 // configStatus tells where a service's settings are in force.
 func configStatus(o *configOptions) *cobra.Command {
 	var relays string
-	c := o.ofService("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, f *node.File, service string) error {
+	c := o.ofService("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, f *server.Config, service string) error {
 		addresses, err := relayAddresses(relays)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, ask.Question{Kind: ask.Resource, Service: service})
+		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/council/node"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
 	"otterspring/internal/inject"
 )
 
@@ -64,7 +64,7 @@
 	folder  string
 	ip      string
 	path    string // of the council's file
-	file    *node.File
+	file    *server.Config
 	members map[int]*exec.Cmd
 	taken   map[string]bool // addresses that freeAddress has returned
 }
@@ -80,7 +80,7 @@
 	}
 	r.write(r.path, text)
 	var err error
-	if r.file, err = node.LoadFile(r.path); err != nil {
+	if r.file, err = server.LoadConfig(r.path); err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i <= 3; i++ {
@@ -139,7 +139,7 @@
 }
 
 // ask asks the council until it answers.
-func (r *region) ask(q ask.Question) *ask.Answer {
+func (r *region) ask(q client.Request) *client.Response {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -154,7 +154,7 @@
 func (r *region) awaitAble() {
 	r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r.ask(ask.Question{Kind: ask.State}).State.Needs(council.StateVersion, []uint64{1, 2, 3}) {
+		if r.ask(client.Request{Kind: client.ReadState}).State.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
 			return
 		}
 	}
@@ -218,7 +218,7 @@
 	large := filepath.Join(r.folder, "large.toml")
 	r.write(large, "service = \"mail\"\n"+largeTenants())
 
-	before := r.ask(ask.Question{Kind: ask.State})
+	before := r.ask(client.Request{Kind: client.ReadState})
 	for _, test := range []struct {
 		args []string
 		code int
@@ -248,7 +248,7 @@
 			t.Errorf("%v: exit code %d, wanted %d with %q in one line: %s%s", test.args, code, test.code, test.want, out, errw)
 		}
 	}
-	if after := r.ask(ask.Question{Kind: ask.State}); after.Term == before.Term && after.Index != before.Index {
+	if after := r.ask(client.Request{Kind: client.ReadState}); after.Term == before.Term && after.Index != before.Index {
 		t.Errorf("%d entries after %d: something was agreed on", after.Index, before.Index)
 	}
 
@@ -294,7 +294,7 @@
 			t.Parallel()
 			r := newRegion(t)
 			first := r.put("-if-version", "0", r.settingsFile("mail.toml", "mail", "acme"))
-			leader := r.ask(ask.Question{Kind: ask.State}).Member
+			leader := r.ask(client.Request{Kind: client.ReadState}).Member
 			role := filepath.Join(r.folder, fmt.Sprintf("member-%d", leader))
 			r.write(role, "at "+point+" kill once\n")
 
@@ -310,10 +310,10 @@
 			if again := r.put("-if-version", first, "-id", "again", changed); again != second {
 				t.Errorf("the same change by hand: version %s, wanted %s", again, second)
 			}
-			if a := r.ask(ask.Question{Kind: ask.Resource, Service: "mail"}); a.Resource.Version.String() != second || !strings.Contains(string(a.Resource.Settings), "other") {
+			if a := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}); a.Resource.Version.String() != second || !strings.Contains(string(a.Resource.Settings), "other") {
 				t.Errorf("%+v, wanted version %s", a.Resource, second)
 			}
-			if a := r.ask(ask.Question{Kind: ask.Follow}); a.Update.Version.String() != second {
+			if a := r.ask(client.Request{Kind: client.WatchConfiguration}); a.Update.Version.String() != second {
 				t.Errorf("newest version %v, wanted %s: it was applied twice", a.Update.Version, second)
 			}
 		})
@@ -327,7 +327,7 @@
 	var mu sync.Mutex
 	var ids []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		var q ask.Question
+		var q client.Request
 		if err := json.NewDecoder(request.Body).Decode(&q); err != nil || q.Change == nil {
 			t.Errorf("%+v, %v, wanted a change", q, err)
 			return
@@ -335,9 +335,9 @@
 		mu.Lock()
 		defer mu.Unlock()
 		ids = append(ids, q.Change.ID)
-		answer := ask.Answer{Council: "west#1", No: council.ErrUnknown.Error(), Unknown: true}
+		answer := client.Response{Cluster: "west#1", Unavailable: coordination.ErrUnknownOutcome.Error(), OutcomeUnknown: true}
 		if len(ids) == 3 {
-			answer = ask.Answer{Council: "west#1", Resource: &configuration.Resource{Service: "mail", Version: configuration.NewVersion(1, 5)}}
+			answer = client.Response{Cluster: "west#1", Resource: &configuration.Resource{Service: "mail", Version: configuration.NewVersion(1, 5)}}
 		}
 		json.NewEncoder(w).Encode(answer)
 	}))
@@ -398,7 +398,7 @@
 		if !strings.Contains(text, fmt.Sprintf("operator-%d", winner)) {
 			t.Fatalf("round %d: %s, wanted what operator %d wrote", round, text, winner)
 		}
-		held := r.ask(ask.Question{Kind: ask.Resource, Service: "mail"}).Resource.Version
+		held := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource.Version
 		if want, _ := configuration.ParseVersion(version); held != want+1 {
 			t.Fatalf("round %d: version %v, wanted one on from %s", round, held, version)
 		}
@@ -457,7 +457,7 @@
 	r.write(path, fmt.Sprintf("region = \"west\"\nzone = \"a\"\nname = %q\nlisten = %q\nmembers = [%q, %q, %q]\n",
 		name, address, r.file.Members[0].Address, r.file.Members[1].Address, r.file.Members[2].Address))
 	r.start(name, "relay", "run", path)
-	newest := r.ask(ask.Question{Kind: ask.Follow}).Update.Version
+	newest := r.ask(client.Request{Kind: client.WatchConfiguration}).Update.Version
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		status := askRelay(ctx, "west", address, "mail")
--- a/cmd/otterspring/council.go
+++ b/cmd/otterspring/council.go
@@ -18,9 +18,9 @@
 
 	"otterspring/internal/cli"
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/council/node"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
 )
 
 // councilCommand is `otterspring council` with its verbs.
@@ -33,13 +33,13 @@
 }
 
 // ofCouncil is a verb that takes a council's file and a fixed number of words.
-func ofCouncil(use, short string, words int, do func(f *node.File, words []string) error) *cobra.Command {
+func ofCouncil(use, short string, words int, do func(f *server.Config, words []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		if len(args) != 1+words {
 			return fmt.Errorf("%w: council %s: found %d words, wanted: %s", errUsage, c.Name(), len(args), use)
 		}
-		f, err := node.LoadFile(args[0])
+		f, err := server.LoadConfig(args[0])
 		if err != nil {
 			return err
 		}
@@ -51,19 +51,19 @@
 func councilRun(log func() *slog.Logger) *cobra.Command {
 	var number uint64
 	var begins, joins bool
-	c := ofCouncil("run [flags] FILE", "be a member until a signal", 0, func(f *node.File, _ []string) error {
-		begin := node.Again
+	c := ofCouncil("run [flags] FILE", "be a member until a signal", 0, func(f *server.Config, _ []string) error {
+		begin := server.Resume
 		switch {
 		case begins && joins:
 			return fmt.Errorf("%w: council run: found -new and -join, wanted one of them", errUsage)
 		case begins:
-			begin = node.New
+			begin = server.Bootstrap
 		case joins:
-			begin = node.Join
+			begin = server.Join
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		n, err := node.Open(f, number, begin, log())
+		n, err := server.Open(f, number, begin, log())
 		if err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 }
 
 func councilCheck(out io.Writer) *cobra.Command {
-	return ofCouncil("check FILE", "say what is wrong with a file, start nothing", 0, func(f *node.File, _ []string) error {
+	return ofCouncil("check FILE", "say what is wrong with a file, start nothing", 0, func(f *server.Config, _ []string) error {
 		fmt.Fprintf(out, "%s: good; %s, lease %v, margin %v\n", f.Path, plural(len(f.Members), "member", "members"), f.Lease, f.Margin)
 		return nil
 	})
@@ -84,27 +84,27 @@
 
 // councilStatus asks each member by itself.
 func councilStatus(out io.Writer) *cobra.Command {
-	return ofCouncil("status FILE", "what each member says", 0, func(f *node.File, _ []string) error {
+	return ofCouncil("status FILE", "what each member says", 0, func(f *server.Config, _ []string) error {
 		up := 0
 		for _, m := range f.Members {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			a, err := ask.Call(ctx, http.DefaultClient, m.Address, f.Name, ask.Question{Kind: ask.Hear})
+			a, err := client.Call(ctx, http.DefaultClient, m.Address, f.Name, client.Request{Kind: client.WatchLeases})
 			cancel()
 			switch {
 			case err != nil:
 				fmt.Fprintf(out, "member %d %-21s no answer: %v\n", m.Number, m.Address, err)
 				continue
-			case a.No != "":
-				fmt.Fprintf(out, "member %d %-21s %s\n", m.Number, m.Address, a.No)
+			case a.Unavailable != "":
+				fmt.Fprintf(out, "member %d %-21s %s\n", m.Number, m.Address, a.Unavailable)
 				continue
 			}
 			up++
 			role := "follows"
-			if a.Leads {
+			if a.IsLeader {
 				role = "leads"
 			}
 			fmt.Fprintf(out, "member %d %-21s %s term %d entry %d voters %v learners %v syncs %d strange %d version %d of %s\n",
-				m.Number, m.Address, role, a.Term, a.Index, a.Voters, a.Learn, a.Syncs, a.Strange, a.Version, a.Council)
+				m.Number, m.Address, role, a.Term, a.Index, a.Voters, a.Learners, a.Syncs, a.WrongClusterCalls, a.Version, a.Cluster)
 		}
 		fmt.Fprintf(out, "%d members, %d up\n", len(f.Members), up)
 		if up <= len(f.Members)/2 {
@@ -116,53 +116,53 @@
 
 const askFor = 5 * time.Second
 
-func askCouncil(f *node.File, q ask.Question) (*ask.Answer, error) {
+func askCouncil(f *server.Config, q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askFor)
 	defer cancel()
-	c := ask.NewClient(f.Name, f.Addresses())
+	c := client.NewClient(f.Name, f.Addresses())
 	defer c.Close()
 	a, err := c.Do(ctx, q)
-	if err == nil && a.Refused != "" {
-		err = errors.New(a.Refused)
+	if err == nil && a.Rejection != "" {
+		err = errors.New(a.Rejection)
 	}
 	return a, err
 }
 
 func councilDuties(out io.Writer) *cobra.Command {
-	return ofCouncil("duties FILE", "who owns what, as a majority knows it", 0, func(f *node.File, _ []string) error {
-		a, err := askCouncil(f, ask.Question{Kind: ask.State})
+	return ofCouncil("duties FILE", "who owns what, as a majority knows it", 0, func(f *server.Config, _ []string) error {
+		a, err := askCouncil(f, client.Request{Kind: client.ReadState})
 		if err != nil {
 			return err
 		}
 		var names []string
-		for name := range a.State.Duties {
+		for name := range a.State.Leases {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			d := a.State.Duties[name]
-			owner := d.Owner
+			d := a.State.Leases[name]
+			owner := d.Holder
 			if owner == "" {
 				owner = "nobody"
 			}
-			fmt.Fprintf(out, "%-12s %-24s epoch %v since %d note %s\n", d.Name, owner, d.Epoch, d.Since, d.Note)
+			fmt.Fprintf(out, "%-12s %-24s epoch %v since %d note %s\n", d.Name, owner, d.Token, d.AcquiredAt, d.Checkpoint)
 		}
-		for _, o := range a.State.Orders {
-			end := o.End
+		for _, o := range a.State.Operations {
+			end := o.Outcome
 			if end == "" {
 				end = "under way"
 			}
-			fmt.Fprintf(out, "order %s of %s since %d: %s: %s\n", o.ID, o.Duty, o.Since, o.Words, end)
+			fmt.Fprintf(out, "order %s of %s since %d: %s: %s\n", o.ID, o.Lease, o.RequestedAt, o.Request, end)
 		}
-		fmt.Fprintf(out, "%s, %s, count %d\n", plural(len(names), "duty", "duties"), plural(len(a.State.Facts), "host", "hosts"), a.State.Count)
+		fmt.Fprintf(out, "%s, %s, count %d\n", plural(len(names), "duty", "duties"), plural(len(a.State.HostStatus), "host", "hosts"), a.State.LogicalClock)
 		return nil
 	})
 }
 
 func councilStepDown(out io.Writer) *cobra.Command {
 	var duty string
-	c := ofCouncil("step-down [flags] FILE", "let another member lead, or the lease of a duty's owner run out", 0, func(f *node.File, _ []string) error {
-		_, err := askCouncil(f, ask.Question{Kind: ask.StepDown, Duty: duty})
+	c := ofCouncil("step-down [flags] FILE", "let another member lead, or the lease of a duty's owner run out", 0, func(f *server.Config, _ []string) error {
+		_, err := askCouncil(f, client.Request{Kind: client.StepDown, Lease: duty})
 		if err == nil {
 			fmt.Fprintln(out, "asked for")
 		}
@@ -173,13 +173,13 @@
 }
 
 func councilMembers(out io.Writer) *cobra.Command {
-	change := func(kind string, use, short string, words int) *cobra.Command {
-		return ofCouncil(use, short, words, func(f *node.File, args []string) error {
+	change := func(kind client.RequestKind, use, short string, words int) *cobra.Command {
+		return ofCouncil(use, short, words, func(f *server.Config, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 32)
 			if err != nil || number == 0 {
 				return fmt.Errorf("%w: council members %s: found %q, wanted a member's number", errUsage, kind, args[0])
 			}
-			q := ask.Question{Kind: kind, Member: number}
+			q := client.Request{Kind: kind, Member: number}
 			if words > 1 {
 				q.Address = args[1]
 			}
@@ -192,13 +192,13 @@
 	}
 	return cli.Root("members", "change the members, one at a time", "members add NUMBER ADDRESS lets a new member hear (run it with -join, from a file that names it); it counts\n"+
 		"as soon as it is near. members remove NUMBER ends one; its number is not given again.",
-		change(ask.Add, "add FILE NUMBER ADDRESS", "add a member", 2), change(ask.Remove, "remove FILE NUMBER", "remove a member", 1))
+		change(client.AddMember, "add FILE NUMBER ADDRESS", "add a member", 2), change(client.RemoveMember, "remove FILE NUMBER", "remove a member", 1))
 }
 
 // councilForget takes a host out that will not come back: a roll waits for all.
 func councilForget(out io.Writer) *cobra.Command {
-	return ofCouncil("forget FILE HOST", "a host has gone for good: nothing waits for it", 1, func(f *node.File, args []string) error {
-		_, err := askCouncil(f, ask.Question{Kind: council.Facts, Who: args[0]})
+	return ofCouncil("forget FILE HOST", "a host has gone for good: nothing waits for it", 1, func(f *server.Config, args []string) error {
+		_, err := askCouncil(f, client.Request{Kind: client.SetHostStatus, Subject: args[0]})
 		if err == nil {
 			fmt.Fprintf(out, "%s: forgotten\n", args[0])
 		}
@@ -207,17 +207,17 @@
 }
 
 func councilSnapshot(out io.Writer) *cobra.Command {
-	return ofCouncil("snapshot FILE OUT", "keep what is agreed on in a file", 1, func(f *node.File, args []string) error {
-		data, err := node.FetchSnapshot(f)
+	return ofCouncil("snapshot FILE OUT", "keep what is agreed on in a file", 1, func(f *server.Config, args []string) error {
+		data, err := server.FetchSnapshot(f)
 		if err != nil {
 			return err
 		}
-		s, err := council.Unseal(data)
+		s, err := coordination.DecodeSnapshot(data)
 		if err == nil {
 			err = disk.Replace(args[0], data, true)
 		}
 		if err == nil {
-			fmt.Fprintf(out, "%s: %d bytes, space %d, %s\n", args[0], len(data), s.Space, plural(len(s.Duties), "duty", "duties"))
+			fmt.Fprintf(out, "%s: %d bytes, space %d, %s\n", args[0], len(data), s.TokenSpace, plural(len(s.Leases), "duty", "duties"))
 		}
 		return err
 	})
@@ -227,12 +227,12 @@
 	var number uint64
 	var space uint32
 	var older bool
-	c := ofCouncil("restore [flags] FILE SNAPSHOT", "begin anew from a snapshot, by hand, where the majority is lost for good", 1, func(f *node.File, args []string) error {
+	c := ofCouncil("restore [flags] FILE SNAPSHOT", "begin anew from a snapshot, by hand, where the majority is lost for good", 1, func(f *server.Config, args []string) error {
 		data, err := disk.Read(args[0])
 		if err != nil {
 			return err
 		}
-		of, err := node.Restore(f, number, data, space, older)
+		of, err := server.Restore(f, number, data, space, older)
 		if err == nil {
 			fmt.Fprintf(out, "member %d: council %s begins in space %d; start it with run, then add the others (members add)\n", number, of, space)
 		}
--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -17,8 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"otterspring/internal/cli"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/everywhere"
 	"otterspring/internal/fleet/supervisor"
 )
@@ -172,7 +171,7 @@
 	case order.AtOnce < 1 || order.AtOnce > 100 || order.ZoneOnce < 0:
 		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.AtOnce, order.ZoneOnce)
 	}
-	c := ask.NewClient(f.Council.Name, f.Council.Members)
+	c := client.NewClient(f.Council.Name, f.Council.Members)
 	defer c.Close()
 	text, err := json.Marshal(order)
 	if err != nil {
@@ -181,13 +180,13 @@
 	id := fmt.Sprintf("r%08x", rand.Uint32())
 	for { // the order has a number: asked twice it is one
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		a, err := c.Do(ctx, ask.Question{Kind: council.Begin, ID: id, Duty: supervisor.Duty, Data: text})
+		a, err := c.Do(ctx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.Duty, Data: text})
 		cancel()
-		if errors.Is(err, ask.ErrUnknown) {
+		if errors.Is(err, client.ErrUnknownOutcome) {
 			continue
 		}
-		if err == nil && a.Refused != "" {
-			err = errors.New(a.Refused)
+		if err == nil && a.Rejection != "" {
+			err = errors.New(a.Rejection)
 		}
 		if err != nil {
 			return err
@@ -201,20 +200,20 @@
 	return waitEverywhere(c, id, out)
 }
 
-func waitEverywhere(c *ask.Client, id string, out io.Writer) error {
+func waitEverywhere(c *client.Client, id string, out io.Writer) error {
 	last := ""
 	for ; ; time.Sleep(200 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-		a, err := c.Do(ctx, ask.Question{Kind: ask.State})
+		a, err := c.Do(ctx, client.Request{Kind: client.ReadState})
 		cancel()
 		if err != nil {
 			return err
 		}
 		line := ""
-		if d := a.State.Duties[supervisor.Duty]; d != nil && d.Note != nil {
+		if d := a.State.Leases[supervisor.Duty]; d != nil && d.Checkpoint != nil {
 			var n everywhere.Note
-			if json.Unmarshal(d.Note, &n) == nil && n.Order == id {
-				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Done, n.Of, d.Owner, d.Epoch)
+			if json.Unmarshal(d.Checkpoint, &n) == nil && n.Order == id {
+				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Done, n.Of, d.Holder, d.Token)
 				if n.Wait != "" {
 					line += ": " + n.Wait
 				}
@@ -224,12 +223,12 @@
 			fmt.Fprintln(out, line)
 			last = line
 		}
-		for _, o := range a.State.Orders {
-			if o.ID == id && o.End == "done" {
+		for _, o := range a.State.Operations {
+			if o.ID == id && o.Outcome == "done" {
 				fmt.Fprintln(out, "done")
 				return nil
-			} else if o.ID == id && o.End != "" {
-				return errors.New(o.End)
+			} else if o.ID == id && o.Outcome != "" {
+				return errors.New(o.Outcome)
 			}
 		}
 	}
--- a/cmd/otterspring/relay_test.go
+++ b/cmd/otterspring/relay_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/relay"
 )
 
@@ -58,7 +58,7 @@
 // Each fault of a relay is one line with its place, and the right exit code.
 func TestRelayExitCodes(t *testing.T) {
 	foreign := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(ask.Answer{Council: "east#1", No: "found council west, wanted east"})
+		json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found council west, wanted east"})
 	}))
 	defer foreign.Close()
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/rig/council.go
+++ b/cmd/rig/council.go
@@ -18,8 +18,7 @@
 	"syscall"
 	"time"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 // councilLoad is `rig council`: what a council costs and carries, with its members
@@ -76,22 +75,22 @@
 		defer func() { cmd.Process.Kill(); cmd.Wait() }()
 		pids = append(pids, cmd.Process.Pid)
 	}
-	c := ask.NewClient("load", addresses)
+	c := client.NewClient("load", addresses)
 	defer c.Close()
-	do := func(q ask.Question) (*ask.Answer, error) {
+	do := func(q client.Request) (*client.Response, error) {
 		ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
 		return c.Do(ctx, q)
 	}
-	a, err := do(ask.Question{Kind: council.Take, Who: "w", Duty: "load"})
+	a, err := do(client.Request{Kind: client.AcquireLease, Subject: "w", Lease: "load"})
 	if err != nil {
 		return err
 	}
-	epoch := a.Duty.Epoch
+	epoch := a.Lease.Token
 	note := func() error {
-		a, err := do(ask.Question{Kind: council.Note, Who: "w", Duty: "load", Epoch: epoch, Data: []byte(`{"at":1}`)})
-		if err == nil && a.Refused != "" {
-			err = errors.New(a.Refused)
+		a, err := do(client.Request{Kind: client.WriteCheckpoint, Subject: "w", Lease: "load", Token: epoch, Data: []byte(`{"at":1}`)})
+		if err == nil && a.Rejection != "" {
+			err = errors.New(a.Rejection)
 		}
 		return err
 	}
@@ -145,9 +144,9 @@
 // fsyncs of the first member for each, and commands a second.
 func (o *councilLoad) write(ctx context.Context, addresses []string, writers int, note func() error) (took []time.Duration, syncs, rate float64, err error) {
 	syncsOf := func() int {
-		c := ask.NewClient("load", addresses[:1])
+		c := client.NewClient("load", addresses[:1])
 		defer c.Close()
-		a, err := c.Do(ctx, ask.Question{Kind: ask.Hear})
+		a, err := c.Do(ctx, client.Request{Kind: client.WatchLeases})
 		if err != nil {
 			return 0
 		}
@@ -186,10 +185,10 @@
 	changed, n := time.Now(), 0
 	for h := range o.hosts {
 		wg.Go(func() {
-			c := ask.NewClient("load", slices.Concat(addresses[h%len(addresses):], addresses[:h%len(addresses)]))
+			c := client.NewClient("load", slices.Concat(addresses[h%len(addresses):], addresses[:h%len(addresses)]))
 			defer c.Close()
 			for seen := uint64(0); ctx.Err() == nil; {
-				a, err := c.Do(ctx, ask.Question{Kind: ask.Hear, Seen: seen, WaitMS: 2000})
+				a, err := c.Do(ctx, client.Request{Kind: client.WatchLeases, SeenIndex: seen, WaitMS: 2000})
 				if err != nil {
 					continue
 				}
--- a/cmd/sandhinge/deps_test.go
+++ b/cmd/sandhinge/deps_test.go
@@ -17,7 +17,7 @@
 	for name := range strings.Lines(string(out)) {
 		name = strings.TrimSpace(name)
 		found[name] = true
-		for _, heavy := range []string{"/raft", "/bbolt", "/cobra", "gonum.org/", "otterspring/internal/lab", "otterspring/internal/fleet/council", "otterspring/internal/fleet/supervisor"} {
+		for _, heavy := range []string{"/raft", "/bbolt", "/cobra", "gonum.org/", "otterspring/internal/lab", "otterspring/internal/fleet/coordination", "otterspring/internal/fleet/supervisor"} {
 			if strings.Contains(name, heavy) {
 				t.Errorf("the sidecar links %s, wanted nothing of %s", name, heavy)
 			}
--- a/internal/fleet/council/boundary_test.go
+++ b/internal/fleet/coordination/boundary_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 		{Role: "agreed state, in snapshots", Encoding: "json", Value: State{}},
 		{Role: "agreed command, in log entries", Encoding: "json", Value: Command{}},
 		{Role: "result of a command", Encoding: "json", Value: Result{}},
-		{Role: "owner and epoch, as receivers keep it", Encoding: "json", Value: Tenant{}},
+		{Role: "owner and epoch, as receivers keep it", Encoding: "json", Value: Holder{}},
 		{Role: "change of the configuration, in a command", Encoding: "json", Value: configuration.Change{}},
 	})
 }
 
 // kindsOfFixture are the kinds of the commands in testdata/commands.jsonl, line by line.
-var kindsOfFixture = []string{
-	Can, Can, Can, Take, Note, Begin, End, Begin, Facts, Facts, Facts, Take, Give, Take, Expire, Raise,
-	Configure, Move, Take, Note,
+var kindsOfFixture = []CommandKind{
+	AdvertiseVersion, AdvertiseVersion, AdvertiseVersion, AcquireLease, WriteCheckpoint, RequestOperation, CompleteOperation, RequestOperation, SetHostStatus, SetHostStatus, SetHostStatus, AcquireLease, ReleaseLease, AcquireLease, ExpireLease, AdvanceToken,
+	ChangeConfiguration, SetTokenSpace, AcquireLease, WriteCheckpoint,
 }
 
 // Commands and the state that an older version stored are read, written and applied
@@ -60,22 +60,22 @@
 		if string(written) != line {
 			t.Errorf("line %d: written back as %s, wanted %s", i+1, written, line)
 		}
-		if r := state.Apply(c); r.Refused != "" {
-			t.Errorf("line %d: %s", i+1, r.Refused)
+		if r := state.Apply(c); r.Rejection != "" {
+			t.Errorf("line %d: %s", i+1, r.Rejection)
 		}
 	}
 	want, err := os.ReadFile("testdata/state.sealed")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Seal(state); err != nil || !bytes.Equal(got, want) {
+	if got, err := EncodeSnapshot(state); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("the commands lead to %s (%v), wanted %s", got, err, want)
 	}
-	stored, err := Unseal(want)
+	stored, err := DecodeSnapshot(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Seal(stored); err != nil || !bytes.Equal(got, want) {
+	if got, err := EncodeSnapshot(stored); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written back as %s (%v), wanted %s", got, err, want)
 	}
 }
--- a/internal/fleet/council/capacity_test.go
+++ b/internal/fleet/coordination/capacity_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"encoding/json"
@@ -14,15 +14,15 @@
 	state := NewState("delft.1")
 	for i := range hosts {
 		facts := fmt.Sprintf(`{"zone":"z%d","address":"10.1.%d.%d:7200","instances":20,"program":"/usr/lib/otterspring/sandhinge"}`, i%3, i>>8, i&0xff)
-		result := state.Apply(Command{Version: 1, Kind: Facts, Count: uint64(i), Who: fmt.Sprintf("host-%04d", i), Data: json.RawMessage(facts)})
-		if result.Refused != "" {
-			b.Fatal(result.Refused)
+		result := state.Apply(Command{Version: 1, Kind: SetHostStatus, LogicalClock: uint64(i), Subject: fmt.Sprintf("host-%04d", i), Data: json.RawMessage(facts)})
+		if result.Rejection != "" {
+			b.Fatal(result.Rejection)
 		}
 	}
 	return state
 }
 
-var capacityHosts = []int{12, 50, 100, 200, 350, MostHosts}
+var capacityHosts = []int{12, 50, 100, 200, 350, MaxHosts}
 
 // BenchmarkStateOfHosts is what a member pays to write its whole state, as it does
 // for a snapshot and for whoever asks for it: an owner of the roll ten times a second.
--- a/internal/fleet/council/ask/boundary_test.go
+++ b/internal/fleet/coordination/client/boundary_test.go
@@ -1,4 +1,4 @@
-package ask
+package client
 
 import (
 	"encoding/json"
@@ -9,34 +9,33 @@
 	"strings"
 	"testing"
 
-	"otterspring/internal/fleet/council"
 	"otterspring/internal/keytest"
 )
 
 // The keys of questions and answers.
 func TestKeysOfMessages(t *testing.T) {
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
-		{Role: "what a member is asked", Encoding: "json", Value: Question{}},
-		{Role: "what a member answers", Encoding: "json", Value: Answer{}},
+		{Role: "what a member is asked", Encoding: "json", Value: Request{}},
+		{Role: "what a member answers", Encoding: "json", Value: Response{}},
 	})
 }
 
 // kindsOfFixture are the kinds of the lines of testdata/questions.jsonl.
-var kindsOfFixture = []string{
-	council.Take, council.Give, council.Note, council.Raise, council.Begin, council.End, council.Facts, council.Can,
-	Renew, State, Hear, Report, Add, Remove, StepDown, Configure, Follow, Resource,
+var kindsOfFixture = []RequestKind{
+	AcquireLease, ReleaseLease, WriteCheckpoint, AdvanceToken, RequestOperation, CompleteOperation, SetHostStatus, AdvertiseVersion,
+	RenewLease, ReadState, WatchLeases, ReportHost, AddMember, RemoveMember, StepDown, ChangeConfiguration, WatchConfiguration, ReadConfiguration,
 }
 
 // Questions and answers of an older version are read and written as that version did:
 // testdata holds its bytes.
 func TestStoredMessages(t *testing.T) {
 	for i, line := range fixture(t, "testdata/questions.jsonl") {
-		if q := roundTrip[Question](t, line); q.Kind != kindsOfFixture[i] {
+		if q := roundTrip[Request](t, line); q.Kind != kindsOfFixture[i] {
 			t.Errorf("line %d: found kind %q, wanted %q", i+1, q.Kind, kindsOfFixture[i])
 		}
 	}
 	for _, line := range fixture(t, "testdata/answers.jsonl") {
-		roundTrip[Answer](t, line)
+		roundTrip[Response](t, line)
 	}
 }
 
@@ -79,7 +78,7 @@
 		}
 	}))
 	defer server.Close()
-	a, err := Call(t.Context(), server.Client(), server.Listener.Addr().String(), "test#0badcafe", roundTrip[Question](t, questions[0]))
+	a, err := Call(t.Context(), server.Client(), server.Listener.Addr().String(), "test#0badcafe", roundTrip[Request](t, questions[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/council/ask/listen.go
+++ b/internal/fleet/coordination/client/listener.go
@@ -1,13 +1,13 @@
-package ask
+package client
 
 import (
 	"net"
 	"sync"
 )
 
-// Bounded returns a listener with at most so many connections at a time: the next
+// LimitListener returns a listener with at most so many connections at a time: the next
 // waits in the system's queue until one has ended.
-func Bounded(ln net.Listener, most int) net.Listener {
+func LimitListener(ln net.Listener, most int) net.Listener {
 	return &bounded{ln, make(chan bool, most)}
 }
 
--- a/internal/fleet/council/configure.go
+++ b/internal/fleet/coordination/configuration.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 // configuration.
 const configureVersion = 2
 
-// NewConfigure returns the command that asks for a change, or why no council can
+// NewConfigurationChange returns the command that asks for a change, or why no council can
 // agree on it, whatever its configuration holds.
-func NewConfigure(change configuration.Change) (Command, error) {
+func NewConfigurationChange(change configuration.Change) (Command, error) {
 	if err := change.Check(); err != nil {
 		return Command{}, err
 	}
@@ -21,22 +21,22 @@
 	if err != nil {
 		return Command{}, err
 	}
-	return Command{Version: configureVersion, Kind: Configure, Data: data}, nil
+	return Command{Version: configureVersion, Kind: ChangeConfiguration, Data: data}, nil
 }
 
-// Configured returns the configuration, to be read only. It is empty before the
+// ConfigurationStore returns the configuration, to be read only. It is empty before the
 // first change.
-func (s *State) Configured() *configuration.Store {
+func (s *State) ConfigurationStore() *configuration.Store {
 	if s.Configuration == nil {
 		return &configuration.Store{}
 	}
 	return s.Configuration
 }
 
-// TryConfigure returns what a command of kind Configure would come to now. The state
+// DryRunConfigurationChange returns what a command of kind Configure would come to now. The state
 // stays as it is.
-func (s *State) TryConfigure(c Command) Result {
-	trial := State{Space: s.Space, Configuration: s.Configured().Copy()}
+func (s *State) DryRunConfigurationChange(c Command) Result {
+	trial := State{TokenSpace: s.TokenSpace, Configuration: s.ConfigurationStore().Copy()}
 	return trial.applyConfigure(c)
 }
 
@@ -58,20 +58,20 @@
 	if err := json.Unmarshal(c.Data, &change); err != nil {
 		return refuse("configure: %v", err)
 	}
-	version, err := s.store().Apply(s.Space, change)
+	version, err := s.store().Apply(s.TokenSpace, change)
 	if err != nil {
 		var conflict *configuration.ConflictError
-		return Result{Refused: err.Error(), Conflict: errors.As(err, &conflict)}
+		return Result{Rejection: err.Error(), Conflict: errors.As(err, &conflict)}
 	}
 	return Result{Version: version}
 }
 
 // raiseSpace takes an epoch space that the council has not begun by itself.
 func (s *State) raiseSpace(space uint32) {
-	if space <= s.Space {
+	if space <= s.TokenSpace {
 		return
 	}
-	s.Space = space
+	s.TokenSpace = space
 	if s.Configuration != nil { // members of version 1 have none, and come to the same
 		s.Configuration.BeginSpace(space)
 	}
--- a/internal/fleet/council/configure_sim_test.go
+++ b/internal/fleet/coordination/configuration_sim_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	crand "crypto/rand"
@@ -76,12 +76,12 @@
 // tellAble has the leader agree on what all members can apply.
 func (s *configureSim) tellAble() {
 	for _, leader := range s.members {
-		if !s.up(leader) || !leader.m.Leads() || s.rng.IntN(20) > 0 {
+		if !s.up(leader) || !leader.m.IsLeader() || s.rng.IntN(20) > 0 {
 			continue
 		}
 		for _, m := range s.members {
-			if leader.m.State().Able[m.id] < StateVersion {
-				leader.m.Propose(Command{Kind: Can, Member: m.id, Epoch: StateVersion}, nil)
+			if leader.m.State().SupportedVersions[m.id] < StateVersion {
+				leader.m.Propose(Command{Kind: AdvertiseVersion, Member: m.id, Token: StateVersion}, nil)
 			}
 		}
 	}
@@ -99,31 +99,31 @@
 	o.tries++
 	tries, lost := o.tries, s.rng.IntN(5) == 0
 	o.busy = s.step + simAnswerSteps
-	command, err := NewConfigure(*change)
+	command, err := NewConfigurationChange(*change)
 	if err != nil {
 		s.fail("%v", err)
 	}
 	m.m.Propose(command, func(r Result, err error) {
-		if err == nil && r.Refused == "" {
+		if err == nil && r.Rejection == "" {
 			s.wasApplied(change, r.Version, tries)
 		}
 		if lost || o.change != change {
 			return
 		}
 		o.busy = 0
-		if err != nil || r.Refused != "" && !r.Conflict && o.held[change.Service] == 0 {
+		if err != nil || r.Rejection != "" && !r.Conflict && o.held[change.Service] == 0 {
 			return // asked again: another leads, or not all can apply it yet
 		}
 		o.change = nil
 		if r.Conflict {
 			s.conflicts++
 			if version, applied := s.versions[change.ID]; applied {
-				s.fail("change %s was applied as %v, and its operator is told of a conflict: %s", change.ID, version, r.Refused)
+				s.fail("change %s was applied as %v, and its operator is told of a conflict: %s", change.ID, version, r.Rejection)
 			}
 		}
 		// It reads before it changes again.
 		o.held[change.Service] = 0
-		if resource := m.m.State().Configured().Resources[change.Service]; resource != nil {
+		if resource := m.m.State().ConfigurationStore().Resources[change.Service]; resource != nil {
 			o.held[change.Service] = resource.Version
 		}
 	})
@@ -174,15 +174,15 @@
 		return
 	}
 	least, member := s.newest, m.m
-	member.ReadAnywhere(func(err error) {
+	member.FollowerRead(func(err error) {
 		if err != nil {
 			return
 		}
 		s.reads++
-		if !member.Leads() {
+		if !member.IsLeader() {
 			s.followerReads++
 		}
-		if got := member.State().Configured().Version; got < least {
+		if got := member.State().ConfigurationStore().Version; got < least {
 			s.fail("member %d read version %v, wanted %v at least, which somebody was told before", m.id, got, least)
 		}
 	})
@@ -217,7 +217,7 @@
 		if index != applied || commit != applied || m.m.Leader() == 0 || m.output != nil {
 			return false
 		}
-		leads = leads || m.m.Leads() && m.m.State().Configured().Version >= s.newest
+		leads = leads || m.m.IsLeader() && m.m.State().ConfigurationStore().Version >= s.newest
 	}
 	return leads
 }
@@ -252,7 +252,7 @@
 
 // check holds a member's state against what anybody was told.
 func (s *configureSim) check(m *simMember) {
-	store := m.m.State().Configured()
+	store := m.m.State().ConfigurationStore()
 	if store.Version < s.newest {
 		s.fail("member %d has version %v, wanted %v at least", m.id, store.Version, s.newest)
 	}
@@ -276,7 +276,7 @@
 	reader := crand.Reader
 	defer func() { crand.Reader = reader }()
 	s := newSim(t, 1, 3)
-	command, err := NewConfigure(create("a", "mail", json.RawMessage(`{}`)))
+	command, err := NewConfigurationChange(create("a", "mail", json.RawMessage(`{}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +293,7 @@
 				return result
 			}
 			for _, m := range s.members {
-				if m.m.Leads() && s.step%simAnswerSteps == 0 {
+				if m.m.IsLeader() && s.step%simAnswerSteps == 0 {
 					m.m.Propose(c, func(r Result, err error) {
 						result, done = r, err == nil
 					})
@@ -303,10 +303,10 @@
 		t.Fatalf("%+v: no answer", c)
 		return result
 	}
-	for member, version := range map[uint64]Epoch{1: 2, 2: 2, 3: 1} {
-		propose(Command{Kind: Can, Member: member, Epoch: version})
+	for member, version := range map[uint64]FencingToken{1: 2, 2: 2, 3: 1} {
+		propose(Command{Kind: AdvertiseVersion, Member: member, Token: version})
 	}
-	if r := propose(command); r.Refused == "" {
+	if r := propose(command); r.Rejection == "" {
 		t.Errorf("beside a member of version 1: %+v, wanted it held back", r)
 	}
 	for _, m := range s.members {
@@ -314,8 +314,8 @@
 			t.Errorf("member %d has a configuration", m.id)
 		}
 	}
-	propose(Command{Kind: Can, Member: 3, Epoch: 2})
-	if r := propose(command); r.Refused != "" || r.Version == 0 {
+	propose(Command{Kind: AdvertiseVersion, Member: 3, Token: 2})
+	if r := propose(command); r.Rejection != "" || r.Version == 0 {
 		t.Errorf("all can: %+v, wanted a version", r)
 	}
 }
@@ -354,33 +354,33 @@
 			if m.m == nil || m.m.Leader() == 0 {
 				return false
 			}
-			if m.m.Leads() {
+			if m.m.IsLeader() {
 				leader = m
 			}
 		}
 		return leader != nil
 	})
 	follower = s.members[leader.id%3]
-	follower.m.ReadAnywhere(func(err error) { t.Errorf("the read of before the restart has ended: %v", err) })
+	follower.m.FollowerRead(func(err error) { t.Errorf("the read of before the restart has ended: %v", err) })
 	until("answer to a read", func() bool { return held != nil })
 
 	follower.m, follower.output = nil, nil
 	until("follower that knows the leader again", func() bool { return follower.m != nil && follower.m.Leader() == leader.id })
 	cutOff = follower.id
 	agreed := false
-	leader.m.Propose(Command{Kind: Take, Who: "h1", Duty: duty}, func(r Result, err error) { agreed = err == nil && r.Refused == "" })
+	leader.m.Propose(Command{Kind: AcquireLease, Subject: "h1", Lease: duty}, func(r Result, err error) { agreed = err == nil && r.Rejection == "" })
 	until("owner of the duty", func() bool { return agreed })
-	follower.m.ReadAnywhere(func(err error) {
-		if err == nil && follower.m.State().Duties[duty] == nil {
+	follower.m.FollowerRead(func(err error) {
+		if err == nil && follower.m.State().Leases[duty] == nil {
 			t.Error("a read is confirmed without what was agreed on before it")
 		}
 	})
 	if err := follower.m.Step(held); err != nil {
 		t.Fatal(err)
 	}
-	if out, ok := follower.m.Output(); ok {
+	if out, ok := follower.m.Ready(); ok {
 		follower.keep(out)
-		if err := follower.m.Stored(); err != nil {
+		if err := follower.m.Advance(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/council/configure_test.go
+++ b/internal/fleet/coordination/configuration_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"encoding/json"
@@ -35,7 +35,7 @@
 // configured applies a change, which has to be one that a council may agree on.
 func configured(t testing.TB, s *State, change configuration.Change) Result {
 	t.Helper()
-	command, err := NewConfigure(change)
+	command, err := NewConfigurationChange(change)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 func TestConfigure(t *testing.T) {
 	s := NewState("x")
 	first := configured(t, s, create("a", "mail", json.RawMessage(`{}`)))
-	if first.Refused != "" || first.Version != configuration.NewVersion(1, 1) {
+	if first.Rejection != "" || first.Version != configuration.NewVersion(1, 1) {
 		t.Fatalf("first change: %+v, wanted version 1.1", first)
 	}
 	if s.Version != configureVersion {
@@ -55,10 +55,10 @@
 	}
 	change := configuration.Change{ID: "b", Service: "mail", IfVersion: &first.Version, Settings: json.RawMessage(`{"tenants":[]}`)}
 	second := configured(t, s, change)
-	if second.Refused != "" || second.Version <= first.Version {
+	if second.Rejection != "" || second.Version <= first.Version {
 		t.Fatalf("second change: %+v", second)
 	}
-	if again := configured(t, s, change); again.Version != second.Version || again.Refused != "" {
+	if again := configured(t, s, change); again.Version != second.Version || again.Rejection != "" {
 		t.Errorf("the same change again: %+v, wanted version %v", again, second.Version)
 	}
 	before, _ := json.Marshal(s)
@@ -72,23 +72,23 @@
 		{create("d", "mail", json.RawMessage(`{}`)), true},
 		{configuration.Change{ID: "e", Service: "post", Settings: json.RawMessage(`{}`)}, false},
 	} {
-		command, err := NewConfigure(test.change)
+		command, err := NewConfigurationChange(test.change)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if tried := s.TryConfigure(command); tried.Refused == "" || tried.Conflict != test.conflict {
+		if tried := s.DryRunConfigurationChange(command); tried.Rejection == "" || tried.Conflict != test.conflict {
 			t.Errorf("%s tried: %+v, wanted a refusal with conflict %v", test.change.ID, tried, test.conflict)
 		}
-		if r := s.Apply(command); r.Refused == "" || r.Conflict != test.conflict || strings.Contains(r.Refused, "\n") {
+		if r := s.Apply(command); r.Rejection == "" || r.Conflict != test.conflict || strings.Contains(r.Rejection, "\n") {
 			t.Errorf("%s: %+v, wanted a refusal with conflict %v", test.change.ID, r, test.conflict)
 		}
 	}
-	good, _ := NewConfigure(configuration.Change{ID: "f", Service: "mail", Settings: json.RawMessage(`{}`)})
-	if tried := s.TryConfigure(good); tried.Refused != "" {
+	good, _ := NewConfigurationChange(configuration.Change{ID: "f", Service: "mail", Settings: json.RawMessage(`{}`)})
+	if tried := s.DryRunConfigurationChange(good); tried.Rejection != "" {
 		t.Errorf("tried: %+v", tried)
 	}
 	good.Version = 1
-	if r := s.Apply(good); r.Refused == "" {
+	if r := s.Apply(good); r.Rejection == "" {
 		t.Error("a command of version 1 was taken, which members of version 1 refuse")
 	}
 	if after, _ := json.Marshal(s); string(after) != string(before) {
@@ -115,11 +115,11 @@
 		"no object":            `[]`,
 		"no JSON":              `{`,
 	} {
-		if c, err := NewConfigure(create("a", "mail", json.RawMessage(settings))); err == nil || strings.Contains(err.Error(), "\n") {
+		if c, err := NewConfigurationChange(create("a", "mail", json.RawMessage(settings))); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: command %+v, error %v, wanted one line", name, c, err)
 		}
 	}
-	if _, err := NewConfigure(create("", "mail", json.RawMessage(`{}`))); err == nil {
+	if _, err := NewConfigurationChange(create("", "mail", json.RawMessage(`{}`))); err == nil {
 		t.Error("a change without an id was taken")
 	}
 }
@@ -127,7 +127,7 @@
 // A council of one member of version 1 beside others of version 2: a change is held
 // back, and nothing is agreed on, until that one can apply it.
 func TestConfigureIsHeldBack(t *testing.T) {
-	disk, err := FirstDisk("x", map[uint64]string{1: "a"})
+	disk, err := BootstrapState("x", map[uint64]string{1: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,20 +135,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, err := NewConfigure(create("a", "mail", json.RawMessage(`{}`)))
+	command, err := NewConfigurationChange(create("a", "mail", json.RawMessage(`{}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var early Result
 	var earlyErr error
 	m.Propose(command, func(r Result, err error) { early, earlyErr = r, err })
-	if _, is := earlyErr.(NotLeader); !is {
+	if _, is := earlyErr.(NotLeaderError); !is {
 		t.Errorf("before it leads: %+v, %v, wanted that another is asked", early, earlyErr)
 	}
-	until(t, m, m.Leads)
-	for _, version := range []Epoch{1, 2} {
+	until(t, m, m.IsLeader)
+	for _, version := range []FencingToken{1, 2} {
 		told := false
-		m.Propose(Command{Kind: Can, Member: 1, Epoch: version}, func(Result, error) { told = true })
+		m.Propose(Command{Kind: AdvertiseVersion, Member: 1, Token: version}, func(Result, error) { told = true })
 		until(t, m, func() bool { return told })
 		_, _, before := m.Status()
 		var result *Result
@@ -160,21 +160,21 @@
 		})
 		until(t, m, func() bool { return result != nil })
 		_, _, after := m.Status()
-		if held := strings.Contains(result.Refused, "held back"); held != (version == 1) || held != (after == before) {
+		if held := strings.Contains(result.Rejection, "held back"); held != (version == 1) || held != (after == before) {
 			t.Errorf("members of version %d: %+v, entries %d after %d", version, *result, after, before)
 		}
 	}
-	if m.State().Configured().Resources["mail"] == nil {
+	if m.State().ConfigurationStore().Resources["mail"] == nil {
 		t.Error("nothing was agreed on")
 	}
 }
 
-// until runs a member alone.
+// validUntil runs a member alone.
 func until(t testing.TB, m *Member, done func() bool) {
 	t.Helper()
 	for range 200 {
-		for _, ok := m.Output(); ok; _, ok = m.Output() {
-			if err := m.Stored(); err != nil {
+		for _, ok := m.Ready(); ok; _, ok = m.Ready() {
+			if err := m.Advance(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -190,27 +190,27 @@
 // configuration comes back whole, and is of version 2.
 func TestConfigurationInSnapshots(t *testing.T) {
 	old := []byte(`{"version":1,"council":"x","count":7,"space":1,"duties":{},"orders":null,"facts":{},"able":{},"members":{"1":"a"}}`)
-	s, err := Unseal(seal(old))
+	s, err := DecodeSnapshot(seal(old))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Configuration != nil || s.Configured().Version != 0 || s.Count != 7 {
+	if s.Configuration != nil || s.ConfigurationStore().Version != 0 || s.LogicalClock != 7 {
 		t.Errorf("from version 1: %+v", s)
 	}
 	configured(t, s, create("a", "mail", json.RawMessage(`{"classes":[{"name":"<fast>","worth":2}]}`)))
-	data, err := Seal(s)
+	data, err := EncodeSnapshot(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := Unseal(data)
+	back, err := DecodeSnapshot(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Seal(back)
-	if err != nil || string(again) != string(data) || back.Configured().Resources["mail"] == nil || back.Version != 2 {
+	again, err := EncodeSnapshot(back)
+	if err != nil || string(again) != string(data) || back.ConfigurationStore().Resources["mail"] == nil || back.Version != 2 {
 		t.Errorf("back: %+v, %v", back, err)
 	}
-	if c := s.WithoutConfiguration(); c.Configuration != nil || c.Count != 7 {
+	if c := s.WithoutConfiguration(); c.Configuration != nil || c.LogicalClock != 7 {
 		t.Errorf("without the configuration: %+v", c)
 	}
 	if s.Configuration == nil {
@@ -226,7 +226,7 @@
 		for i := range services {
 			configured(t, s, create(fmt.Sprint("id", i), fmt.Sprint("service", i), json.RawMessage(`{}`)))
 		}
-		data, err := Seal(s)
+		data, err := EncodeSnapshot(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,15 +234,15 @@
 		for i := range 5 {
 			lost = configured(t, s, create(fmt.Sprint("late", i), fmt.Sprint("late", i), json.RawMessage(`{}`))).Version
 		}
-		disk, err := RestoredDisk(&raftpb.Snapshot{Data: data}, 1, "a", 2)
+		disk, err := RestoredState(&raftpb.Snapshot{Data: data}, 1, "a", 2)
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored, err := Unseal(disk.Snapshot.GetData())
+		restored, err := DecodeSnapshot(disk.Snapshot.GetData())
 		if err != nil {
 			t.Fatal(err)
 		}
-		store := restored.Configured()
+		store := restored.ConfigurationStore()
 		if store.Version <= lost || len(store.Resources) != services {
 			t.Errorf("%d services: version %v after %v, %d services", services, store.Version, lost, len(store.Resources))
 		}
@@ -262,17 +262,17 @@
 // configuration gets none: members of version 1 come to the same.
 func TestRaiseBeginsASpace(t *testing.T) {
 	s := NewState("x")
-	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 2<<32 + 1})
-	if s.Configuration != nil || s.Version != 1 || s.Space != 2 {
+	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 2<<32 + 1})
+	if s.Configuration != nil || s.Version != 1 || s.TokenSpace != 2 {
 		t.Errorf("without a configuration: %+v", s)
 	}
 	first := configured(t, s, create("a", "mail", json.RawMessage(`{}`))).Version
-	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 2<<32 + 9})
-	if got := s.Configured().Version; got != first || first.Space() != 2 {
+	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 2<<32 + 9})
+	if got := s.ConfigurationStore().Version; got != first || first.Space() != 2 {
 		t.Errorf("after a raise within the space: version %v, wanted %v", got, first)
 	}
-	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 7<<32 + 9})
-	if got := s.Configured().Resources["mail"].Version; got.Space() != 7 {
+	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 7<<32 + 9})
+	if got := s.ConfigurationStore().Resources["mail"].Version; got.Space() != 7 {
 		t.Errorf("after a raise of the space: version %v, wanted one of space 7", got)
 	}
 }
@@ -281,27 +281,27 @@
 // when encoded, fits into a snapshot: a member that can't seal its state ends.
 func TestLargestSnapshot(t *testing.T) {
 	s := NewState("x")
-	wide := func(i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat("<", MostName-4)) }
+	wide := func(i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat("<", MaxNameBytes-4)) }
 	blob := func(size int) json.RawMessage {
 		return json.RawMessage(`"` + strings.Repeat("x", size-2) + `"`)
 	}
 	taken := func(r Result) {
 		t.Helper()
-		if r.Refused != "" {
-			t.Fatal(r.Refused)
+		if r.Rejection != "" {
+			t.Fatal(r.Rejection)
 		}
 	}
-	for i := range MostHosts {
-		taken(s.Apply(Command{Kind: Facts, Who: wide(i), Data: blob(MostFact)}))
+	for i := range MaxHosts {
+		taken(s.Apply(Command{Kind: SetHostStatus, Subject: wide(i), Data: blob(MaxHostStatusBytes)}))
 	}
-	for i := range MostDuties {
-		r := s.Apply(Command{Kind: Take, Who: wide(i), Duty: wide(i)})
+	for i := range MaxLeases {
+		r := s.Apply(Command{Kind: AcquireLease, Subject: wide(i), Lease: wide(i)})
 		taken(r)
-		taken(s.Apply(Command{Kind: Note, Who: wide(i), Duty: wide(i), Epoch: r.Duty.Epoch, Data: blob(MostNote)}))
-		for k := range MostOrders / MostDuties {
+		taken(s.Apply(Command{Kind: WriteCheckpoint, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
+		for k := range MaxOperations / MaxLeases {
 			id := wide(i*100 + k)
-			taken(s.Apply(Command{Kind: Begin, ID: id, Duty: wide(i), Data: blob(MostNote)}))
-			taken(s.Apply(Command{Kind: End, ID: id, Who: wide(i), Duty: wide(i), Epoch: r.Duty.Epoch, Data: blob(MostNote)}))
+			taken(s.Apply(Command{Kind: RequestOperation, OperationID: id, Lease: wide(i), Data: blob(MaxCheckpointBytes)}))
+			taken(s.Apply(Command{Kind: CompleteOperation, OperationID: id, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
 		}
 	}
 	for i := range configuration.MaxServices {
@@ -314,7 +314,7 @@
 		if i >= remembered-configuration.MaxServices { // large ones take their time
 			change.Settings = settings
 		}
-		if _, err := s.Configuration.Apply(s.Space, change); err != nil {
+		if _, err := s.Configuration.Apply(s.TokenSpace, change); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -328,11 +328,11 @@
 	if total < configuration.MaxTotalBytes*95/100 {
 		t.Errorf("%d bytes of settings, wanted about %d", total, configuration.MaxTotalBytes)
 	}
-	data, err := Seal(s)
+	data, err := EncodeSnapshot(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("snapshot: %d bytes of %d", len(data), MostSnapshot)
+	t.Logf("snapshot: %d bytes of %d", len(data), MaxSnapshotBytes)
 }
 
 // BenchmarkConfigure is the processor time of one agreed change of one of 360
@@ -344,14 +344,14 @@
 		b.Run(fmt.Sprint("bytes=", size), func(b *testing.B) {
 			commands := make([]Command, 360)
 			for i := range commands {
-				commands[i], _ = NewConfigure(configuration.Change{ID: "x", Service: service(i), Settings: settingsOf(size)})
+				commands[i], _ = NewConfigurationChange(configuration.Change{ID: "x", Service: service(i), Settings: settingsOf(size)})
 			}
 			defer reportCPU(b)()
 			for i := range b.N {
 				command := commands[i%len(commands)]
 				command.Data = []byte(strings.Replace(string(command.Data), `"id":"x"`, fmt.Sprintf(`"id":"%d"`, i), 1))
-				if r := s.Apply(command); r.Refused != "" {
-					b.Fatal(r.Refused)
+				if r := s.Apply(command); r.Rejection != "" {
+					b.Fatal(r.Rejection)
 				}
 			}
 		})
@@ -360,11 +360,11 @@
 
 func BenchmarkTryConfigure(b *testing.B) {
 	s := stateOf(b, 360, 2<<10)
-	command, _ := NewConfigure(configuration.Change{ID: "new", Service: service(7), Settings: settingsOf(2 << 10)})
+	command, _ := NewConfigurationChange(configuration.Change{ID: "new", Service: service(7), Settings: settingsOf(2 << 10)})
 	defer reportCPU(b)()
 	for b.Loop() {
-		if r := s.TryConfigure(command); r.Refused != "" {
-			b.Fatal(r.Refused)
+		if r := s.DryRunConfigurationChange(command); r.Rejection != "" {
+			b.Fatal(r.Rejection)
 		}
 	}
 }
@@ -376,7 +376,7 @@
 			sealed := 0
 			defer reportCPU(b)()
 			for b.Loop() {
-				data, err := Seal(s)
+				data, err := EncodeSnapshot(s)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -391,11 +391,11 @@
 // that lacks all.
 func BenchmarkSince(b *testing.B) {
 	s := stateOf(b, 360, 2<<10)
-	for name, from := range map[string]configuration.Version{"one": s.Configured().Version - 1, "all": 0} {
+	for name, from := range map[string]configuration.Version{"one": s.ConfigurationStore().Version - 1, "all": 0} {
 		b.Run(name, func(b *testing.B) {
 			defer reportCPU(b)()
 			for b.Loop() {
-				if update := s.Configured().Since(from); len(update.Resources) == 0 {
+				if update := s.ConfigurationStore().Since(from); len(update.Resources) == 0 {
 					b.Fatal("found no news")
 				}
 			}
--- a/internal/fleet/council/explore_test.go
+++ b/internal/fleet/coordination/explore_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"flag"
@@ -66,41 +66,41 @@
 func (x *xState) council() *State {
 	s := NewState("x")
 	for d, name := range xDuties {
-		s.Duties[name] = &Duty{Name: name, Owner: xHosts[x.owner[d]], Epoch: x.at(x.epoch[d])}
+		s.Leases[name] = &Lease{Name: name, Holder: xHosts[x.owner[d]], Token: x.at(x.epoch[d])}
 	}
 	return s
 }
 
 // at is an epoch of the model as the rules have it.
-func (x *xState) at(e byte) Epoch {
+func (x *xState) at(e byte) FencingToken {
 	if e == 0 {
 		return 0
 	}
-	return 1<<32 + Epoch(e)
+	return 1<<32 + FencingToken(e)
 }
 
-func (x *xState) leasesOf() *Leases {
-	l := NewLeases()
+func (x *xState) leasesOf() *leaseTimers {
+	l := newLeaseTimers()
 	for d, name := range xDuties {
 		if v := x.leases[d]; v.known {
-			l.ticks[name] = lease{x.at(v.epoch), uint64(v.left), v.ending}
+			l.timers[name] = leaseTimer{x.at(v.epoch), uint64(v.left), v.ending}
 		}
 	}
 	return l
 }
 
-func (x *xState) keepLeases(l *Leases, now uint64) {
+func (x *xState) keepLeases(l *leaseTimers, now uint64) {
 	for d, name := range xDuties {
-		v, ok := l.ticks[name]
+		v, ok := l.timers[name]
 		if !ok {
 			x.leases[d] = xLeaseOf{}
 			continue
 		}
 		left := byte(0)
-		if v.end > now {
-			left = byte(v.end - now)
+		if v.expiresAt > now {
+			left = byte(v.expiresAt - now)
 		}
-		x.leases[d] = xLeaseOf{true, v.ending, byte(uint32(v.epoch)), left}
+		x.leases[d] = xLeaseOf{true, v.revoked, byte(uint32(v.token)), left}
 	}
 }
 
@@ -109,9 +109,9 @@
 	before := [2]byte{x.epoch[0], x.epoch[1]}
 	r := s.Apply(c)
 	for d, name := range xDuties {
-		v := s.Duties[name]
-		x.epoch[d] = byte(uint32(v.Epoch))
-		x.owner[d] = byte(slices.Index(xHosts[:], v.Owner))
+		v := s.Leases[name]
+		x.epoch[d] = byte(uint32(v.Token))
+		x.owner[d] = byte(slices.Index(xHosts[:], v.Holder))
 		if x.epoch[d] < before[d] {
 			t.Fatalf("an epoch went back: %+v after %+v", x, c)
 		}
@@ -191,7 +191,7 @@
 		if e := x.expire[d]; e != 0 { // it is agreed on
 			y := x
 			y.expire[d] = 0
-			y.apply(t, Command{Version: 1, Kind: Expire, Duty: xDuties[d], Epoch: x.at(e)})
+			y.apply(t, Command{Version: 1, Kind: ExpireLease, Lease: xDuties[d], Token: x.at(e)})
 			add(y)
 		}
 	}
@@ -210,7 +210,7 @@
 		y = x
 		for d := range xDuties {
 			f := x.fence(r)
-			f.Hear(xDuties[d], Tenant{xHosts[x.owner[d]], x.at(x.epoch[d])})
+			f.Observe(xDuties[d], Holder{xHosts[x.owner[d]], x.at(x.epoch[d])})
 			y.keepFence(r, f)
 			add(y)
 		}
@@ -226,7 +226,7 @@
 	f := NewFence()
 	for d, name := range xDuties {
 		if v := x.fences[r][d]; v.known {
-			f.newest[name] = Tenant{xHosts[v.host], x.at(v.epoch)}
+			f.newest[name] = Holder{xHosts[v.host], x.at(v.epoch)}
 		}
 	}
 	return f
@@ -235,7 +235,7 @@
 func (x *xState) keepFence(r int, f *Fence) {
 	for d, name := range xDuties {
 		if v, ok := f.newest[name]; ok {
-			x.fences[r][d] = xFence{true, byte(uint32(v.Epoch)), byte(slices.Index(xHosts[:], v.Owner))}
+			x.fences[r][d] = xFence{true, byte(uint32(v.Token)), byte(slices.Index(xHosts[:], v.Name))}
 		}
 	}
 }
@@ -245,27 +245,27 @@
 	h, d := m.host-1, m.duty
 	switch m.kind {
 	case xTake:
-		r := x.apply(t, Command{Version: 1, Kind: Take, Who: xHosts[m.host], Duty: xDuties[d]})
-		m.kind, m.ok = xTaken, r.Duty != nil && r.Duty.Owner == xHosts[m.host]
+		r := x.apply(t, Command{Version: 1, Kind: AcquireLease, Subject: xHosts[m.host], Lease: xDuties[d]})
+		m.kind, m.ok = xTaken, r.Lease != nil && r.Lease.Holder == xHosts[m.host]
 		if m.ok {
-			m.epoch = byte(uint32(r.Duty.Epoch))
-			if r.Refused != "" {
+			m.epoch = byte(uint32(r.Lease.Token))
+			if r.Rejection != "" {
 				m.age = xLease // known from a question before: it counts from its next
 			}
 		}
 		x.msgs[i] = m
 	case xRenew:
 		l := x.leasesOf()
-		m.kind, m.ok = xRenewed, x.epoch[d] == m.epoch && x.owner[d] == m.host && l.Renew(xDuties[d], x.at(m.epoch), 0, xLease)
+		m.kind, m.ok = xRenewed, x.epoch[d] == m.epoch && x.owner[d] == m.host && l.renew(xDuties[d], x.at(m.epoch), 0, xLease)
 		x.keepLeases(l, 0)
 		x.msgs[i] = m
 	case xTaken, xRenewed:
 		x.msgs[i] = xMsg{}
-		var tenure Tenure
+		var tenure Leadership
 		switch {
 		case m.ok && (m.kind == xTaken && x.held[h][d] == 0 || x.held[h][d] == m.epoch):
-			tenure.Renewed(-time.Duration(m.age), x.at(m.epoch), xLease, xMargin)
-			if left := byte(max(0, tenure.until)); m.kind == xTaken || left > x.left[h][d] {
+			tenure.Renew(-time.Duration(m.age), x.at(m.epoch), xLease, xMargin)
+			if left := byte(max(0, tenure.validUntil)); m.kind == xTaken || left > x.left[h][d] {
 				x.left[h][d] = left
 				x.missed[h][d] = m.missed > 0
 			}
@@ -279,7 +279,7 @@
 func (x *xState) effect(t testing.TB, i int, e xEffect) {
 	x.effects[i] = xEffect{}
 	f := x.fence(int(e.to))
-	if f.Check(xDuties[e.duty], Tenant{xHosts[e.host], x.at(e.epoch)}) != nil {
+	if f.Check(xDuties[e.duty], Holder{xHosts[e.host], x.at(e.epoch)}) != nil {
 		return
 	}
 	x.keepFence(int(e.to), f)
@@ -311,8 +311,8 @@
 		}
 	}
 	l := x.leasesOf()
-	for _, c := range l.RunOut(x.council(), 1, xLease) {
-		x.expire[slices.Index(xDuties[:], c.Duty)] = byte(uint32(c.Epoch))
+	for _, c := range l.expired(x.council(), 1, xLease) {
+		x.expire[slices.Index(xDuties[:], c.Lease)] = byte(uint32(c.Token))
 	}
 	x.keepLeases(l, 1)
 	return x, true
--- a/internal/fleet/council/member.go
+++ b/internal/fleet/coordination/member.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"bytes"
@@ -26,100 +26,100 @@
 
 // Bounds of a member, of itself.
 const (
-	MostWaiting    = 4096     // asks without an answer
-	mostMessage    = 1 << 20  // bytes of entries in a message
-	MostSnapshot   = 12 << 20 // bytes: all bounds of the state reached at once fit
-	compactAfter   = 1024     // applied entries, then a snapshot is taken
-	compactKeeps   = 128      // entries that stand for a member that is behind
-	learnerNear    = 2        // entries by which a learner may be behind when it begins to count
-	mostUncommited = 4 << 20
+	MaxPendingProposals = 4096     // asks without an answer
+	mostMessage         = 1 << 20  // bytes of entries in a message
+	MaxSnapshotBytes    = 12 << 20 // bytes: all bounds of the state reached at once fit
+	compactAfter        = 1024     // applied entries, then a snapshot is taken
+	compactKeeps        = 128      // entries that stand for a member that is behind
+	learnerNear         = 2        // entries by which a learner may be behind when it begins to count
+	mostUncommited      = 4 << 20
 )
 
 var (
-	// ErrUnknown is the answer to an ask that may or may not take effect.
-	ErrUnknown = errors.New("no answer within two elections: it may have taken effect or not")
+	// ErrUnknownOutcome is the answer to an ask that may or may not take effect.
+	ErrUnknownOutcome = errors.New("no answer within two elections: it may have taken effect or not")
 	// ErrBusy is the answer of a member with too much before it.
 	ErrBusy = errors.New("found 4096 asks without an answer, wanted fewer")
 )
 
-// NotLeader says that another is to be asked: Leader, or nobody that this member
+// NotLeaderError says that another is to be asked: Leader, or nobody that this member
 // knows of, where it is 0.
-type NotLeader struct{ Leader uint64 }
+type NotLeaderError struct{ Leader uint64 }
 
-func (e NotLeader) Error() string {
+func (e NotLeaderError) Error() string {
 	if e.Leader == 0 {
 		return "found no majority, wanted one: this member knows of no leader"
 	}
 	return fmt.Sprintf("not the leader: member %d is", e.Leader)
 }
 
-// Disk is what a member finds on its disk.
-type Disk struct {
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
+// PersistentState is what a member finds on its disk.
+type PersistentState struct {
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry
 }
 
-// Count is the newest count that a disk has heard of, agreed on or not.
-func (d Disk) Count() (uint64, error) {
+// LogicalClock is the newest count that a disk has heard of, agreed on or not.
+func (d PersistentState) LogicalClock() (uint64, error) {
 	if d.Snapshot == nil {
 		return 0, nil
 	}
-	s, err := Unseal(d.Snapshot.GetData())
+	s, err := DecodeSnapshot(d.Snapshot.GetData())
 	if err != nil {
 		return 0, err
 	}
-	count := s.Count
+	count := s.LogicalClock
 	for _, e := range d.Entries {
 		var c Command
 		if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && json.Unmarshal(e.Data, &c) == nil {
-			count = max(count, c.Count)
+			count = max(count, c.LogicalClock)
 		}
 	}
 	return count, nil
 }
 
-// FirstDisk is the disk of each member that a new council begins with: the members
+// BootstrapState is the disk of each member that a new council begins with: the members
 // are agreed on by the operator, in a file that is the same for all.
-func FirstDisk(name string, members map[uint64]string) (Disk, error) {
+func BootstrapState(name string, members map[uint64]string) (PersistentState, error) {
 	s := NewState(name)
 	s.Members = maps.Clone(members)
 	return diskOf(s, slices.Sorted(maps.Keys(members)))
 }
 
-// RestoredDisk is the disk of the only member of a council that was brought back
+// RestoredState is the disk of the only member of a council that was brought back
 // from a snapshot by hand. All epochs that were given out before are older than
 // what it gives out.
-func RestoredDisk(snap *raftpb.Snapshot, member uint64, address string, space uint32) (Disk, error) {
-	s, err := Unseal(snap.GetData())
+func RestoredState(snap *raftpb.Snapshot, member uint64, address string, space uint32) (PersistentState, error) {
+	s, err := DecodeSnapshot(snap.GetData())
 	if err != nil {
-		return Disk{}, err
+		return PersistentState{}, err
 	}
-	if space <= s.Space {
-		return Disk{}, fmt.Errorf("space: found %d, wanted more than the snapshot's %d", space, s.Space)
+	if space <= s.TokenSpace {
+		return PersistentState{}, fmt.Errorf("space: found %d, wanted more than the snapshot's %d", space, s.TokenSpace)
 	}
-	s.Apply(Command{Version: 1, Kind: Move, Epoch: Epoch(space)})
+	s.Apply(Command{Version: 1, Kind: SetTokenSpace, Token: FencingToken(space)})
 	s.Members = map[uint64]string{member: address}
 	return diskOf(s, []uint64{member})
 }
 
-func diskOf(s *State, voters []uint64) (Disk, error) {
-	data, err := Seal(s)
+func diskOf(s *State, voters []uint64) (PersistentState, error) {
+	data, err := EncodeSnapshot(s)
 	if err != nil {
-		return Disk{}, err
+		return PersistentState{}, err
 	}
-	return Disk{
-		Hard: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
+	return PersistentState{
+		HardState: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
 		Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{
 			ConfState: &raftpb.ConfState{Voters: voters}, Index: proto.Uint64(1), Term: proto.Uint64(1)}},
 	}, nil
 }
 
-// Seal writes a state with its checksum.
-func Seal(s *State) ([]byte, error) {
+// EncodeSnapshot writes a state with its checksum.
+func EncodeSnapshot(s *State) ([]byte, error) {
 	text, err := json.Marshal(s)
-	if err == nil && len(text)+8 > MostSnapshot {
-		err = fmt.Errorf("snapshot: found %d bytes, wanted %d at most", len(text), MostSnapshot-8)
+	if err == nil && len(text)+8 > MaxSnapshotBytes {
+		err = fmt.Errorf("snapshot: found %d bytes, wanted %d at most", len(text), MaxSnapshotBytes-8)
 	}
 	if err != nil {
 		return nil, err
@@ -131,9 +131,9 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...)
 }
 
-// Unseal reads a sealed state. What is torn or of a newer form is an error.
-func Unseal(data []byte) (*State, error) {
-	if len(data) < 8 || len(data) > MostSnapshot || xxhash.Sum64(data[8:]) != binary.BigEndian.Uint64(data) {
+// DecodeSnapshot reads a sealed state. What is torn or of a newer form is an error.
+func DecodeSnapshot(data []byte) (*State, error) {
+	if len(data) < 8 || len(data) > MaxSnapshotBytes || xxhash.Sum64(data[8:]) != binary.BigEndian.Uint64(data) {
 		return nil, fmt.Errorf("snapshot: found %d bytes that are not as they were written, wanted a whole snapshot", len(data))
 	}
 	s := NewState("")
@@ -169,8 +169,8 @@
 	now             uint64 // ticks since the start
 	counted         uint64 // tick at which the leadership began, with the count then
 	countThen       uint64
-	leases          *Leases // nil while it doesn't lead
-	lease           uint64  // ticks
+	leases          *leaseTimers // nil while it doesn't lead
+	lease           uint64       // ticks
 	ticket          uint64
 	asks            map[uint64]*ask
 	reads           []read
@@ -191,12 +191,12 @@
 
 // NewMember starts a member from its disk. lease is the length of a lease in
 // ticks.
-func NewMember(id uint64, d Disk, lease uint64) (*Member, error) {
+func NewMember(id uint64, d PersistentState, lease uint64) (*Member, error) {
 	m := &Member{ID: id, store: raft.NewMemoryStorage(), lease: lease, asks: map[uint64]*ask{}}
 	var err error
 	m.conf = &raftpb.ConfState{}
 	if m.state = NewState(""); d.Snapshot != nil { // none: it was added, and hears all from the leader
-		if m.state, err = Unseal(d.Snapshot.GetData()); err != nil {
+		if m.state, err = DecodeSnapshot(d.Snapshot.GetData()); err != nil {
 			return nil, err
 		}
 		if err := m.store.ApplySnapshot(d.Snapshot); err != nil {
@@ -208,8 +208,8 @@
 	if err := m.store.Append(d.Entries); err != nil {
 		return nil, err
 	}
-	if d.Hard != nil {
-		m.store.SetHardState(d.Hard)
+	if d.HardState != nil {
+		m.store.SetHardState(d.HardState)
 	}
 	m.snapAt = m.applied
 	m.raw, err = raft.NewRawNode(&raft.Config{
@@ -236,19 +236,19 @@
 	m.now++
 	m.raw.Tick()
 	if m.leases != nil {
-		for _, c := range m.leases.RunOut(m.state, m.now, m.lease) {
+		for _, c := range m.leases.expired(m.state, m.now, m.lease) {
 			m.Propose(c, nil)
 		}
 	}
 	for id, a := range m.asks {
 		if m.now >= a.due {
 			delete(m.asks, id)
-			a.end(Result{}, ErrUnknown)
+			a.end(Result{}, ErrUnknownOutcome)
 		}
 	}
 	m.reads = slices.DeleteFunc(m.reads, func(r read) bool {
 		if m.now >= r.due {
-			r.done(NotLeader{})
+			r.done(NotLeaderError{})
 			return true
 		}
 		return false
@@ -264,7 +264,7 @@
 // Step takes a message of another member.
 func (m *Member) Step(msg *raftpb.Message) error {
 	if msg.GetType() == raftpb.MsgSnap {
-		if _, err := Unseal(msg.GetSnapshot().GetData()); err != nil {
+		if _, err := DecodeSnapshot(msg.GetSnapshot().GetData()); err != nil {
 			return err // not taken: it comes again
 		}
 	}
@@ -274,8 +274,8 @@
 // Leader returns the leader as far as this member knows; 0 for nobody.
 func (m *Member) Leader() uint64 { return m.raw.BasicStatus().SoftState.Lead }
 
-// Leads tells whether this member believes that it leads.
-func (m *Member) Leads() bool { return m.leases != nil }
+// IsLeader tells whether this member believes that it leads.
+func (m *Member) IsLeader() bool { return m.leases != nil }
 
 // Status returns term, agreed index and applied index.
 func (m *Member) Status() (term, commit, applied uint64) {
@@ -283,7 +283,7 @@
 	return h.GetTerm(), h.GetCommit(), m.applied
 }
 
-// State returns the applied state. It is to be read only, and only until the next
+// ReadState returns the applied state. It is to be read only, and only until the next
 // call.
 func (m *Member) State() *State { return m.state }
 
@@ -292,7 +292,7 @@
 func (m *Member) Learners() []uint64 { return m.conf.GetLearners() }
 
 // count is the council's own time as the leader has it.
-func (m *Member) count() uint64 { return max(m.state.Count, m.countThen+m.now-m.counted) }
+func (m *Member) count() uint64 { return max(m.state.LogicalClock, m.countThen+m.now-m.counted) }
 
 // Propose asks for a command to be agreed on. done hears what it came to.
 func (m *Member) Propose(c Command, done func(Result, error)) {
@@ -300,11 +300,11 @@
 		// Another is to be asked, though this member may not have heard yet of what all
 		// can apply.
 		if done != nil {
-			done(Result{}, NotLeader{m.Leader()})
+			done(Result{}, NotLeaderError{m.Leader()})
 		}
 		return
 	}
-	if v := max(1, c.Version); !m.state.Needs(v, slices.Concat(m.Voters(), m.Learners())) {
+	if v := max(1, c.Version); !m.state.AllSupport(v, slices.Concat(m.Voters(), m.Learners())) {
 		// A member that can't apply it would come to another state than the rest.
 		if done != nil {
 			done(refuse("held back: found a command of version %d, wanted all members to be able to apply it", v), nil)
@@ -313,7 +313,7 @@
 	}
 	id, err := m.waits(done)
 	if err == nil {
-		c.Version, c.Count, c.Ticket, c.Term = max(1, c.Version), m.count(), id, m.raw.BasicStatus().HardState.GetTerm()
+		c.Version, c.LogicalClock, c.ProposalID, c.Term = max(1, c.Version), m.count(), id, m.raw.BasicStatus().HardState.GetTerm()
 		var text []byte
 		if text, err = json.Marshal(c); err == nil {
 			err = m.raw.Propose(text)
@@ -325,8 +325,8 @@
 func (m *Member) waits(done func(Result, error)) (uint64, error) {
 	switch {
 	case m.leases == nil:
-		return 0, NotLeader{m.Leader()}
-	case len(m.asks) >= MostWaiting:
+		return 0, NotLeaderError{m.Leader()}
+	case len(m.asks) >= MaxPendingProposals:
 		return 0, ErrBusy
 	}
 	m.ticket++
@@ -340,7 +340,7 @@
 	}
 	delete(m.asks, id)
 	if errors.Is(err, raft.ErrProposalDropped) {
-		err = NotLeader{m.Leader()}
+		err = NotLeaderError{m.Leader()}
 	}
 	if done != nil {
 		done(Result{}, err)
@@ -352,24 +352,24 @@
 // least as new as anything that anybody was told.
 func (m *Member) Read(done func(error)) {
 	if m.leases == nil {
-		done(NotLeader{m.Leader()})
+		done(NotLeaderError{m.Leader()})
 		return
 	}
 	m.confirm(done)
 }
 
-// ReadAnywhere is Read on a member that need not lead: the leader is asked which
+// FollowerRead is Read on a member that need not lead: the leader is asked which
 // entry the member has to have applied.
-func (m *Member) ReadAnywhere(done func(error)) {
+func (m *Member) FollowerRead(done func(error)) {
 	if m.Leader() == raft.None {
-		done(NotLeader{})
+		done(NotLeaderError{})
 		return
 	}
 	m.confirm(done)
 }
 
 func (m *Member) confirm(done func(error)) {
-	if len(m.reads) >= MostWaiting {
+	if len(m.reads) >= MaxPendingProposals {
 		done(ErrBusy)
 		return
 	}
@@ -384,16 +384,16 @@
 	return binary.BigEndian.AppendUint64(context, ticket)
 }
 
-// Renew takes that the owner of a duty was heard of, and calls done when it is sure
+// RenewLease takes that the owner of a duty was heard of, and calls done when it is sure
 // that this member led then: the owner may count its lease from the moment at which
 // it asked.
-func (m *Member) Renew(duty string, e Epoch, done func(error)) {
+func (m *Member) RenewLease(duty string, e FencingToken, done func(error)) {
 	m.Read(func(err error) {
 		if err == nil {
-			d := m.state.Duties[duty]
-			if d == nil || d.Owner == "" || d.Epoch != e {
+			d := m.state.Leases[duty]
+			if d == nil || d.Holder == "" || d.Token != e {
 				err = fmt.Errorf("%s: found epoch %v, which is not the owner's", duty, e)
-			} else if !m.leases.Renew(duty, e, m.now, m.lease) {
+			} else if !m.leases.renew(duty, e, m.now, m.lease) {
 				err = fmt.Errorf("%s: found epoch %v at its end, wanted it renewed before", duty, e)
 			}
 		}
@@ -401,9 +401,9 @@
 	})
 }
 
-// Change asks for a change of members: one at a time, and a new one hears before
+// ChangeMembership asks for a change of members: one at a time, and a new one hears before
 // it counts.
-func (m *Member) Change(kind raftpb.ConfChangeType, id uint64, address string, done func(Result, error)) {
+func (m *Member) ChangeMembership(kind raftpb.ConfChangeType, id uint64, address string, done func(Result, error)) {
 	if err := m.mayChange(kind, id); err != nil {
 		if done != nil {
 			done(Result{}, err)
@@ -412,7 +412,7 @@
 	}
 	ticket, err := m.waits(done)
 	if err == nil {
-		context, _ := json.Marshal(Command{Ticket: ticket, Term: m.raw.BasicStatus().HardState.GetTerm(), Who: address})
+		context, _ := json.Marshal(Command{ProposalID: ticket, Term: m.raw.BasicStatus().HardState.GetTerm(), Subject: address})
 		err = m.raw.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: proto.Uint64(id), Context: context})
 	}
 	m.refused(ticket, done, err)
@@ -446,22 +446,22 @@
 	return nil
 }
 
-// EndTenure lets a duty's lease run out: its owner hears no more that it has it.
+// RevokeLease lets a duty's lease run out: its owner hears no more that it has it.
 // It returns why that can't be.
-func (m *Member) EndTenure(duty string) string {
-	d := m.state.Duties[duty]
+func (m *Member) RevokeLease(duty string) string {
+	d := m.state.Leases[duty]
 	switch {
 	case m.leases == nil:
-		return NotLeader{m.Leader()}.Error()
-	case d == nil || d.Owner == "":
+		return NotLeaderError{m.Leader()}.Error()
+	case d == nil || d.Holder == "":
 		return fmt.Sprintf("%s: found no owner, wanted one that ends", duty)
 	}
-	m.leases.End(duty, d.Epoch, m.now, m.lease)
+	m.leases.revoke(duty, d.Token, m.now, m.lease)
 	return ""
 }
 
-// StepDown lets another lead.
-func (m *Member) StepDown() error {
+// TransferLeadership lets another lead.
+func (m *Member) TransferLeadership() error {
 	for id, p := range m.raw.Status().Progress {
 		if id != m.ID && p.RecentActive && !p.IsLearner {
 			m.raw.TransferLeader(id)
@@ -471,11 +471,11 @@
 	return errors.New("found no other member that is heard of, wanted one to lead")
 }
 
-// Unreachable tells that a message was lost.
-func (m *Member) Unreachable(id uint64) { m.raw.ReportUnreachable(id) }
+// ReportUnreachable tells that a message was lost.
+func (m *Member) ReportUnreachable(id uint64) { m.raw.ReportUnreachable(id) }
 
-// SnapshotSent tells how the sending of a snapshot ended.
-func (m *Member) SnapshotSent(id uint64, ok bool) {
+// ReportSnapshot tells how the sending of a snapshot ended.
+func (m *Member) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
@@ -483,42 +483,42 @@
 	m.raw.ReportSnapshot(id, status)
 }
 
-// Output is what the caller has to do next: keep Hard, Entries and Snapshot, on
+// Ready is what the caller has to do next: keep Hard, Entries and Snapshot, on
 // the disk before anything else where Sync says so, and then send the messages.
-type Output struct {
-	Hard     *raftpb.HardState // nil: as before
-	Entries  []*raftpb.Entry   // those of the same and of higher numbers are replaced
-	Snapshot *raftpb.Snapshot  // entries up to Keeps may be forgotten
-	Keeps    uint64
-	Sync     bool
-	Messages []*raftpb.Message
+type Ready struct {
+	HardState *raftpb.HardState // nil: as before
+	Entries   []*raftpb.Entry   // those of the same and of higher numbers are replaced
+	Snapshot  *raftpb.Snapshot  // entries up to Keeps may be forgotten
+	CompactTo uint64
+	MustSync  bool
+	Messages  []*raftpb.Message
 }
 
-// Output returns what is to be done, or false. Stored has to be called after it.
-func (m *Member) Output() (Output, bool) {
+// Ready returns what is to be done, or false. Stored has to be called after it.
+func (m *Member) Ready() (Ready, bool) {
 	if m.given || m.snap == nil && !m.raw.HasReady() {
-		return Output{}, false
+		return Ready{}, false
 	}
 	m.given = true
-	var out Output
+	var out Ready
 	if m.snap != nil {
-		out.Snapshot, out.Keeps, out.Sync = m.snap, m.snap.GetMetadata().GetIndex()-min(m.snap.GetMetadata().GetIndex(), compactKeeps), true
+		out.Snapshot, out.CompactTo, out.MustSync = m.snap, m.snap.GetMetadata().GetIndex()-min(m.snap.GetMetadata().GetIndex(), compactKeeps), true
 		return out, true
 	}
 	m.ready = m.raw.Ready()
-	out.Entries, out.Messages, out.Sync = m.ready.Entries, m.ready.Messages, m.ready.MustSync
+	out.Entries, out.Messages, out.MustSync = m.ready.Entries, m.ready.Messages, m.ready.MustSync
 	if !raft.IsEmptyHardState(m.ready.HardState) {
-		out.Hard = m.ready.HardState
+		out.HardState = m.ready.HardState
 	}
 	if !raft.IsEmptySnap(m.ready.Snapshot) {
-		out.Snapshot, out.Keeps, out.Sync = m.ready.Snapshot, m.ready.Snapshot.GetMetadata().GetIndex(), true
+		out.Snapshot, out.CompactTo, out.MustSync = m.ready.Snapshot, m.ready.Snapshot.GetMetadata().GetIndex(), true
 	}
 	return out, true
 }
 
-// Stored tells that the last Output is on the disk and on its way. What is agreed
+// Advance tells that the last Output is on the disk and on its way. What is agreed
 // on by it is applied.
-func (m *Member) Stored() error {
+func (m *Member) Advance() error {
 	m.given = false
 	if m.snap != nil {
 		m.snap = nil
@@ -527,7 +527,7 @@
 	rd := m.ready
 	m.ready = raft.Ready{}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		s, err := Unseal(rd.Snapshot.GetData())
+		s, err := DecodeSnapshot(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
@@ -574,14 +574,14 @@
 		return
 	}
 	if now {
-		m.leases = NewLeases()
-		m.counted, m.countThen = m.now, m.state.Count
+		m.leases = newLeaseTimers()
+		m.counted, m.countThen = m.now, m.state.LogicalClock
 		return
 	}
 	m.leases = nil
 	for id, a := range m.asks {
 		delete(m.asks, id)
-		a.end(Result{}, ErrUnknown)
+		a.end(Result{}, ErrUnknownOutcome)
 	}
 	m.endReads()
 }
@@ -591,7 +591,7 @@
 	reads := m.reads
 	m.reads = nil
 	for _, r := range reads {
-		r.done(NotLeader{m.Leader()})
+		r.done(NotLeaderError{m.Leader()})
 	}
 }
 
@@ -645,8 +645,8 @@
 	case raftpb.ConfChangeRemoveNode:
 		m.state.Members[cc.GetNodeId()] = "" // its number is never given again
 	default:
-		if c.Who != "" {
-			m.state.Members[cc.GetNodeId()] = c.Who
+		if c.Subject != "" {
+			m.state.Members[cc.GetNodeId()] = c.Subject
 		}
 	}
 	m.answer(c, Result{})
@@ -654,8 +654,8 @@
 }
 
 func (m *Member) answer(c Command, r Result) {
-	if a := m.asks[c.Ticket]; a != nil && a.term == c.Term {
-		delete(m.asks, c.Ticket)
+	if a := m.asks[c.ProposalID]; a != nil && a.term == c.Term {
+		delete(m.asks, c.ProposalID)
 		a.end(r, nil)
 	}
 }
@@ -679,7 +679,7 @@
 
 // Snapshot makes a snapshot of what is applied.
 func (m *Member) Snapshot() (*raftpb.Snapshot, error) {
-	data, err := Seal(m.state)
+	data, err := EncodeSnapshot(m.state)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/council/node/boundary_test.go
+++ b/internal/fleet/coordination/server/boundary_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"bytes"
@@ -21,22 +21,22 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/keytest"
 )
 
 // The keys of the council's file and of what members tell each other beside raft.
 func TestKeysOfFileAndMessages(t *testing.T) {
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
-		{Role: "the council's file", Encoding: "toml", Value: File{}},
+		{Role: "the council's file", Encoding: "toml", Value: Config{}},
 		{Role: "how far a member was known to be", Encoding: "json", Value: marker{}},
 	})
 }
 
 // The council's file of an older version means the same.
 func TestStoredFile(t *testing.T) {
-	f, err := LoadFile("testdata/council.toml")
+	f, err := LoadConfig("testdata/council.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	if err := opened.db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if name != "test#0badcafe" || d.Hard.GetTerm() != 4 || d.Hard.GetVote() != 1 || d.Hard.GetCommit() != 30 {
-		t.Errorf("found council %q with %v", name, d.Hard)
+	if name != "test#0badcafe" || d.HardState.GetTerm() != 4 || d.HardState.GetVote() != 1 || d.HardState.GetCommit() != 30 {
+		t.Errorf("found council %q with %v", name, d.HardState)
 	}
 	sealed, err := os.ReadFile("../testdata/state.sealed")
 	if err != nil {
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := written.save(council.Output{Entries: d.Entries, Sync: true}); err != nil {
+	if err := written.save(coordination.Ready{Entries: d.Entries, MustSync: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := written.db.Close(); err != nil {
@@ -113,7 +113,7 @@
 		t.Errorf("written back as\n%s\nwanted\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	// Last, since the library completes the snapshot that it is given.
-	if _, err := council.NewMember(2, d, 30); err != nil {
+	if _, err := coordination.NewMember(2, d, 30); err != nil {
 		t.Errorf("no member starts from it: %v", err)
 	}
 }
@@ -143,9 +143,9 @@
 }
 
 // member is a process without its file, clock and disk, for its handlers and calls.
-func member(t *testing.T) *Node {
+func member(t *testing.T) *Server {
 	t.Helper()
-	n := &Node{file: &File{Name: "test"}, number: 2, of: "test#0badcafe", log: slog.New(slog.DiscardHandler), events: make(chan func()), heard: map[uint64]marker{1: {Term: 4, Index: 30}}}
+	n := &Server{file: &Config{Name: "test"}, number: 2, of: "test#0badcafe", log: slog.New(slog.DiscardHandler), events: make(chan func()), heard: map[uint64]marker{1: {Term: 4, Index: 30}}}
 	n.ctx, n.end = context.WithCancel(t.Context())
 	t.Cleanup(n.end)
 	go func() {
@@ -211,8 +211,8 @@
 			t.Errorf("%s %s of %q: status %d, wanted %d: %s", test.method, test.path, test.name, status, test.status, text)
 		}
 		if status == http.StatusConflict {
-			var a ask.Answer
-			if err := json.Unmarshal([]byte(text), &a); err != nil || a.Council != "test#0badcafe" || a.Member != 2 || a.No == "" {
+			var a client.Response
+			if err := json.Unmarshal([]byte(text), &a); err != nil || a.Cluster != "test#0badcafe" || a.Member != 2 || a.Unavailable == "" {
 				t.Errorf("%s %s of another council: %s (%v)", test.method, test.path, text, err)
 			}
 		}
@@ -264,7 +264,7 @@
 	if m, err := n.known(address); err != nil || m != (marker{Term: 4, Index: 30}) {
 		t.Errorf("known: %+v, %v", m, err)
 	}
-	f := &File{Name: "test", Members: []Address{{1, address}}}
+	f := &Config{Name: "test", Members: []Address{{1, address}}}
 	if data, err := FetchSnapshot(f); err != nil || string(data) != "kept" {
 		t.Errorf("snapshot: %q, %v", data, err)
 	}
--- a/internal/fleet/council/node/file.go
+++ b/internal/fleet/coordination/server/config.go
@@ -1,6 +1,6 @@
 // Package node runs a council's member: its file, disk, clock, listener and the
 // ways to the others. What the council agrees on is decided by package council.
-package node
+package server
 
 import (
 	"fmt"
@@ -11,12 +11,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/strictfile"
 )
 
-// File is a council's file, the same for all members.
-type File struct {
+// Config is a council's file, the same for all members.
+type Config struct {
 	Path      string
 	Name      string        `toml:"name" need:"true"`
 	Directory string        `toml:"directory" need:"true"` // a member adds its number
@@ -32,9 +32,9 @@
 	Address string `toml:"address" need:"true"`
 }
 
-// LoadFile reads a council's file and checks it whole.
-func LoadFile(path string) (*File, error) {
-	f := &File{Tick: 100 * time.Millisecond, Lease: 5 * time.Second, Margin: 500 * time.Millisecond}
+// LoadConfig reads a council's file and checks it whole.
+func LoadConfig(path string) (*Config, error) {
+	f := &Config{Tick: 100 * time.Millisecond, Lease: 5 * time.Second, Margin: 500 * time.Millisecond}
 	if err := strictfile.Load(path, f); err != nil {
 		return nil, err
 	}
@@ -46,8 +46,8 @@
 		}
 		f.Directory = abs
 	}
-	if strings.ContainsAny(f.Name, "# \n") || len(f.Name) > council.MostName/2 {
-		return nil, f.bad("name", fmt.Sprintf("%q", f.Name), fmt.Sprintf("1 to %d bytes without blanks and #", council.MostName/2))
+	if strings.ContainsAny(f.Name, "# \n") || len(f.Name) > coordination.MaxNameBytes/2 {
+		return nil, f.bad("name", fmt.Sprintf("%q", f.Name), fmt.Sprintf("1 to %d bytes without blanks and #", coordination.MaxNameBytes/2))
 	}
 	if n := len(f.Members); n%2 == 0 {
 		return nil, f.bad("member", fmt.Sprintf("%d members", n), "an odd number: one more than an odd number bears no more failures")
@@ -68,18 +68,18 @@
 	if f.Margin >= f.Lease {
 		return nil, f.bad("lease", f.Lease.String(), fmt.Sprintf("more than the margin (%v): an owner could never act", f.Margin))
 	}
-	if least := 2 * council.ElectionTicks * f.Tick; f.Lease < least {
+	if least := 2 * coordination.ElectionTicks * f.Tick; f.Lease < least {
 		return nil, f.bad("lease", f.Lease.String(), fmt.Sprintf("%v (two elections) at least: else each change of leader ends each tenure", least))
 	}
 	return f, nil
 }
 
-func (f *File) bad(key, found, wanted string) error {
+func (f *Config) bad(key, found, wanted string) error {
 	return &strictfile.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
 }
 
 // members are the addresses by number.
-func (f *File) members() map[uint64]string {
+func (f *Config) members() map[uint64]string {
 	all := map[uint64]string{}
 	for _, m := range f.Members {
 		all[uint64(m.Number)] = m.Address
@@ -88,7 +88,7 @@
 }
 
 // Addresses are those of all members.
-func (f *File) Addresses() (all []string) {
+func (f *Config) Addresses() (all []string) {
 	for _, m := range f.Members {
 		all = append(all, m.Address)
 	}
@@ -97,7 +97,7 @@
 
 // first is the council's name with the number of the members that it began with:
 // two councils that were given one name by mistake don't take each other's words.
-func (f *File) first() string {
+func (f *Config) first() string {
 	var b strings.Builder
 	for _, m := range f.Members {
 		fmt.Fprintf(&b, "%d %s\n", m.Number, m.Address)
@@ -105,10 +105,10 @@
 	return fmt.Sprintf("%s#%08x", f.Name, uint32(xxhash.Sum64String(b.String())))
 }
 
-// ticks is the lease in ticks of a member.
-func (f *File) ticks() uint64 { return uint64((f.Lease + f.Tick - 1) / f.Tick) }
+// timers is the lease in ticks of a member.
+func (f *Config) ticks() uint64 { return uint64((f.Lease + f.Tick - 1) / f.Tick) }
 
 // directory is a member's own.
-func (f *File) directory(member uint64) string {
+func (f *Config) directory(member uint64) string {
 	return filepath.Join(f.Directory, fmt.Sprintf("member-%d", member))
 }
--- a/internal/fleet/council/node/restore.go
+++ b/internal/fleet/coordination/server/restore.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 // FetchSnapshot asks the leader for what is agreed on.
-func FetchSnapshot(f *File) ([]byte, error) {
+func FetchSnapshot(f *Config) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	why := errors.New("found no member, wanted one")
@@ -25,13 +25,13 @@
 		if err != nil {
 			return nil, err
 		}
-		req.Header.Set(ask.Header, f.Name)
+		req.Header.Set(client.ClusterHeader, f.Name)
 		r, err := http.DefaultClient.Do(req)
 		if err != nil {
 			why = err
 			continue
 		}
-		data, err := io.ReadAll(io.LimitReader(r.Body, council.MostSnapshot+1))
+		data, err := io.ReadAll(io.LimitReader(r.Body, coordination.MaxSnapshotBytes+1))
 		r.Body.Close()
 		if err == nil && r.StatusCode == http.StatusOK {
 			return data, nil
@@ -44,17 +44,17 @@
 // Restore makes the disk of the one member that a council is brought back with. A
 // state that the directory has is put aside, where it is no newer than the
 // snapshot or older says that it may be. It returns the council's new name.
-func Restore(f *File, number uint64, data []byte, space uint32, older bool) (string, error) {
+func Restore(f *Config, number uint64, data []byte, space uint32, older bool) (string, error) {
 	address, known := f.members()[number]
 	if !known {
 		return "", f.bad("member", fmt.Sprintf("no member %d", number), "the number of one in the file")
 	}
-	s, err := council.Unseal(data)
+	s, err := coordination.DecodeSnapshot(data)
 	if err != nil {
 		return "", err
 	}
-	if nameOf(s.Council) != f.Name {
-		return "", fmt.Errorf("snapshot: found council %q, wanted %q", nameOf(s.Council), f.Name)
+	if nameOf(s.Cluster) != f.Name {
+		return "", fmt.Errorf("snapshot: found council %q, wanted %q", nameOf(s.Cluster), f.Name)
 	}
 	dir := f.directory(number)
 	old, _, d, err := openStore(dir, f.Name, number)
@@ -64,21 +64,21 @@
 		return "", err
 	default:
 		old.db.Close()
-		n, err := d.Count()
+		n, err := d.LogicalClock()
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", dir, err)
 		}
-		if n > s.Count && !older {
-			return "", fmt.Errorf("snapshot: found count %d, wanted %d (what %s has) or more, or the word -older", s.Count, n, dir)
+		if n > s.LogicalClock && !older {
+			return "", fmt.Errorf("snapshot: found count %d, wanted %d (what %s has) or more, or the word -older", s.LogicalClock, n, dir)
 		}
 	}
 	// The name changes with the space: members of before are not of this council.
-	s.Council = fmt.Sprintf("%s#%08x", f.Name, space)
-	sealed, err := council.Seal(s)
+	s.Cluster = fmt.Sprintf("%s#%08x", f.Name, space)
+	sealed, err := coordination.EncodeSnapshot(s)
 	if err != nil {
 		return "", err
 	}
-	first, err := council.RestoredDisk(&raftpb.Snapshot{Data: sealed}, number, address, space)
+	first, err := coordination.RestoredState(&raftpb.Snapshot{Data: sealed}, number, address, space)
 	if err != nil {
 		return "", err
 	}
@@ -87,5 +87,5 @@
 			return "", err
 		}
 	}
-	return s.Council, createStore(dir, s.Council, number, first)
+	return s.Cluster, createStore(dir, s.Cluster, number, first)
 }
--- a/internal/fleet/council/node/node.go
+++ b/internal/fleet/coordination/server/server.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 )
@@ -28,29 +28,29 @@
 const (
 	mostConns   = 4096 // connections at a time
 	mostQueue   = 256  // messages to one other member; what comes more is lost
-	mostRaft    = council.MostSnapshot + 2<<20
+	mostRaft    = coordination.MaxSnapshotBytes + 2<<20
 	mostReport  = 2 << 10
 	raftTimeout = 2 * time.Second
 )
 
-// Begin says with what a member's process begins.
-type Begin int
+// StartMode says with what a member's process begins.
+type StartMode int
 
 const (
-	Again Begin = iota // from its directory
-	New                // as one of a council that begins
-	Join               // as one that was added to a council
+	Resume    StartMode = iota // from its directory
+	Bootstrap                  // as one of a council that begins
+	Join                       // as one that was added to a council
 )
 
-// Node is a member's process. Member, store and reports belong to the goroutine
+// Server is a member's process. Member, store and reports belong to the goroutine
 // of Run; handlers send it events.
-type Node struct {
-	file    *File
+type Server struct {
+	file    *Config
 	number  uint64
 	of      string // the council's name with its number
 	store   *store
-	disk    council.Disk
-	member  *council.Member // nil before it may take part
+	disk    coordination.PersistentState
+	member  *coordination.Member // nil before it may take part
 	ln      net.Listener
 	log     *slog.Logger
 	events  chan func()
@@ -81,16 +81,16 @@
 	Index uint64 `json:"index"`
 }
 
-// Open prepares a member: its directory is read, its address listened on.
-func Open(f *File, number uint64, begin Begin, log *slog.Logger) (*Node, error) {
+// PendingOperations prepares a member: its directory is read, its address listened on.
+func Open(f *Config, number uint64, begin StartMode, log *slog.Logger) (*Server, error) {
 	address, known := f.members()[number]
 	if !known {
 		return nil, f.bad("member", fmt.Sprintf("no member %d", number), "the number of one in the file")
 	}
 	dir := f.directory(number)
 	switch begin {
-	case New:
-		d, err := council.FirstDisk(f.first(), f.members())
+	case Bootstrap:
+		d, err := coordination.BootstrapState(f.first(), f.members())
 		if err == nil {
 			err = createStore(dir, f.first(), number, d)
 		}
@@ -100,13 +100,13 @@
 	case Join:
 		of, err := askName(f, number)
 		if err == nil {
-			err = createStore(dir, of, number, council.Disk{})
+			err = createStore(dir, of, number, coordination.PersistentState{})
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	n := &Node{
+	n := &Server{
 		file: f, number: number, log: log, events: make(chan func()), peers: map[uint64]*peer{}, reports: map[string]said{},
 		changed: make(chan struct{}), heard: map[uint64]marker{}, follow: followers{news: make(chan struct{})},
 	}
@@ -127,7 +127,7 @@
 }
 
 // askName asks the members of a file which council they are.
-func askName(f *File, number uint64) (string, error) {
+func askName(f *Config, number uint64) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	var c http.Client
@@ -135,17 +135,17 @@
 		if n == number {
 			continue
 		}
-		if a, err := ask.Call(ctx, &c, address, f.Name, ask.Question{Kind: ask.Hear}); err == nil && nameOf(a.Council) == f.Name {
-			return a.Council, nil
+		if a, err := client.Call(ctx, &c, address, f.Name, client.Request{Kind: client.WatchLeases}); err == nil && nameOf(a.Cluster) == f.Name {
+			return a.Cluster, nil
 		}
 	}
 	return "", fmt.Errorf("%s: found no member of council %q that answers, wanted one to join it", f.Path, f.Name)
 }
 
 // Run is the member until ctx ends or its disk fails.
-func (n *Node) Run(ctx context.Context) (err error) {
+func (n *Server) Run(ctx context.Context) (err error) {
 	server := &http.Server{Handler: n.handler(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 2 * time.Minute, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
-	n.wg.Go(func() { server.Serve(ask.Bounded(n.ln, mostConns)) })
+	n.wg.Go(func() { server.Serve(client.LimitListener(n.ln, mostConns)) })
 	defer func() {
 		n.end()
 		server.Close()
@@ -178,7 +178,7 @@
 
 // runWaiting runs the events that wait already: what they propose goes to the disk
 // in one write with what the event before them proposed.
-func (n *Node) runWaiting() {
+func (n *Server) runWaiting() {
 	for range maxBatch {
 		select {
 		case f := <-n.events:
@@ -189,26 +189,26 @@
 	}
 }
 
-func (n *Node) tick() {
+func (n *Server) tick() {
 	n.ticks++
 	if n.member == nil {
 		return
 	}
 	n.member.Tick()
 	// A learner counts as soon as it is near; it is tried again in the next second.
-	if learners := n.member.Learners(); n.member.Leads() && len(learners) > 0 && n.ticks > n.learned+10 {
+	if learners := n.member.Learners(); n.member.IsLeader() && len(learners) > 0 && n.ticks > n.learned+10 {
 		n.learned = n.ticks
-		n.member.Change(raftpb.ConfChangeAddNode, learners[0], "", nil)
+		n.member.ChangeMembership(raftpb.ConfChangeAddNode, learners[0], "", nil)
 	}
 }
 
 // carry does what the member says: first the disk, then the others.
-func (n *Node) carry() error {
+func (n *Server) carry() error {
 	if n.member == nil {
 		return nil
 	}
 	for {
-		out, ok := n.member.Output()
+		out, ok := n.member.Ready()
 		if !ok {
 			break
 		}
@@ -220,7 +220,7 @@
 		for _, m := range out.Messages {
 			n.send(m)
 		}
-		if err := n.member.Stored(); err != nil {
+		if err := n.member.Advance(); err != nil {
 			return err
 		}
 	}
@@ -229,13 +229,13 @@
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
-	n.follow.observe(n.member.State().Configured().Version, n.member.Leader() != 0)
+	n.follow.observe(n.member.State().ConfigurationStore().Version, n.member.Leader() != 0)
 	return nil
 }
 
 // do runs f in Run's goroutine and returns when it has run; false if that has ended
 // or ctx has.
-func (n *Node) do(ctx context.Context, f func()) bool {
+func (n *Server) do(ctx context.Context, f func()) bool {
 	ran := make(chan struct{})
 	select {
 	case n.events <- func() { defer close(ran); f() }:
@@ -251,8 +251,8 @@
 // said what it knows of it: a disk that is older than what others were told of is
 // not gone on with. All are asked until they answer; without a majority there is
 // nothing to take part in.
-func (n *Node) askAround() {
-	mine := marker{Term: n.disk.Hard.GetTerm(), Index: n.disk.Snapshot.GetMetadata().GetIndex()}
+func (n *Server) askAround() {
+	mine := marker{Term: n.disk.HardState.GetTerm(), Index: n.disk.Snapshot.GetMetadata().GetIndex()}
 	if k := len(n.disk.Entries); k > 0 {
 		mine.Index = n.disk.Entries[k-1].GetIndex()
 	}
@@ -281,23 +281,23 @@
 		}
 	}
 	n.do(n.ctx, func() {
-		if n.member, n.why = council.NewMember(n.number, n.disk, n.file.ticks()); n.why == nil {
+		if n.member, n.why = coordination.NewMember(n.number, n.disk, n.file.ticks()); n.why == nil {
 			n.member.Incarnation = rand.Uint64()
 		}
-		n.disk = council.Disk{}
+		n.disk = coordination.PersistentState{}
 	})
 }
 
 // tellAble has the council agree on what this member can apply. It asks until that
 // stands; a member that is put back to an older program says so, too.
-func (n *Node) tellAble() {
+func (n *Server) tellAble() {
 	for n.ctx.Err() == nil {
 		able, ready := 0, false
 		if !n.do(n.ctx, func() {
 			if ready = n.member != nil; ready {
-				able = n.member.State().Able[n.number]
+				able = n.member.State().SupportedVersions[n.number]
 			}
-		}) || ready && able == council.StateVersion {
+		}) || ready && able == coordination.StateVersion {
 			return
 		}
 		if ready {
@@ -310,8 +310,8 @@
 					}
 				}
 			})
-			c := ask.NewClient(n.of, addresses)
-			c.Do(ctx, ask.Question{Kind: council.Can, Member: n.number, Epoch: council.StateVersion})
+			c := client.NewClient(n.of, addresses)
+			c.Do(ctx, client.Request{Kind: client.AdvertiseVersion, Member: n.number, Token: coordination.StateVersion})
 			c.Close()
 			cancel()
 		}
@@ -323,8 +323,8 @@
 }
 
 // others are the members that the disk knows, or the file's where it knows none.
-func (n *Node) others() map[uint64]string {
-	if s, err := council.Unseal(n.disk.Snapshot.GetData()); err == nil {
+func (n *Server) others() map[uint64]string {
+	if s, err := coordination.DecodeSnapshot(n.disk.Snapshot.GetData()); err == nil {
 		all := map[uint64]string{}
 		for number, address := range s.Members {
 			if address != "" {
@@ -336,14 +336,14 @@
 	return n.file.members()
 }
 
-func (n *Node) known(address string) (m marker, err error) {
+func (n *Server) known(address string) (m marker, err error) {
 	ctx, cancel := context.WithTimeout(n.ctx, raftTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/known?member=%d", address, n.number), nil)
 	if err != nil {
 		return m, err
 	}
-	req.Header.Set(ask.Header, n.of)
+	req.Header.Set(client.ClusterHeader, n.of)
 	if err := inject.Way(ctx, address); err != nil {
 		return m, err
 	}
@@ -359,7 +359,7 @@
 }
 
 // hear notes how far a member says that it is. Run's goroutine.
-func (n *Node) hear(m *raftpb.Message) {
+func (n *Server) hear(m *raftpb.Message) {
 	k := n.heard[m.GetFrom()]
 	switch m.GetType() {
 	case raftpb.MsgAppResp:
@@ -378,7 +378,7 @@
 	queue chan *raftpb.Message
 }
 
-func (n *Node) send(m *raftpb.Message) {
+func (n *Server) send(m *raftpb.Message) {
 	p := n.peers[m.GetTo()]
 	if p == nil {
 		p = &peer{make(chan *raftpb.Message, mostQueue)}
@@ -389,13 +389,13 @@
 	select {
 	case p.queue <- m:
 	default:
-		n.member.Unreachable(m.GetTo())
+		n.member.ReportUnreachable(m.GetTo())
 	}
 }
 
 // carryTo sends messages to one member, those that wait in one call. What can't be
 // sent is lost: the library sends anew what is still needed.
-func (n *Node) carryTo(to uint64, p *peer) {
+func (n *Server) carryTo(to uint64, p *peer) {
 	for {
 		var body []byte
 		var snap bool
@@ -422,10 +422,10 @@
 		if err != nil || snap {
 			n.do(n.ctx, func() {
 				if err != nil {
-					n.member.Unreachable(to)
+					n.member.ReportUnreachable(to)
 				}
 				if snap {
-					n.member.SnapshotSent(to, err == nil)
+					n.member.ReportSnapshot(to, err == nil)
 				}
 			})
 		}
@@ -442,7 +442,7 @@
 
 // address is where a member listens; empty where that is not known. Run's
 // goroutine.
-func (n *Node) address(number uint64) string {
+func (n *Server) address(number uint64) string {
 	if a := n.member.State().Members[number]; a != "" {
 		return a
 	}
@@ -457,7 +457,7 @@
 	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
 }
 
-func (n *Node) post(address string, body []byte) error {
+func (n *Server) post(address string, body []byte) error {
 	if address == "" {
 		return errors.New("no address")
 	}
@@ -467,7 +467,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(ask.Header, n.of)
+	req.Header.Set(client.ClusterHeader, n.of)
 	if err := inject.Way(ctx, address); err != nil {
 		return err
 	}
@@ -483,31 +483,31 @@
 	return nil
 }
 
-func (n *Node) handler() http.Handler {
+func (n *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /raft", n.takeRaft)
 	mux.HandleFunc("GET /known", n.tellKnown)
-	mux.HandleFunc("POST "+ask.Path, n.takeAsk)
+	mux.HandleFunc("POST "+client.Path, n.takeAsk)
 	mux.HandleFunc("GET /v1/snapshot", n.tellSnapshot)
 	return mux
 }
 
 // ours tells whether a call is of this council; another's is refused and counted.
 // A client that does not know the number yet names the council alone.
-func (n *Node) ours(w http.ResponseWriter, r *http.Request, whole bool) bool {
-	of := r.Header.Get(ask.Header)
+func (n *Server) ours(w http.ResponseWriter, r *http.Request, whole bool) bool {
+	of := r.Header.Get(client.ClusterHeader)
 	if of == n.of || !whole && of == nameOf(n.of) {
 		return true
 	}
 	n.do(r.Context(), func() { n.strange++ })
 	n.log.Warn(fmt.Sprintf("%s: found a call of council %q, wanted %q's: refused", r.RemoteAddr, of, n.of), logs.Cause("strange"))
-	text, _ := json.Marshal(ask.Answer{Council: n.of, Member: n.number, No: fmt.Sprintf("found council %q, wanted %q", of, n.of)})
+	text, _ := json.Marshal(client.Response{Cluster: n.of, Member: n.number, Unavailable: fmt.Sprintf("found council %q, wanted %q", of, n.of)})
 	w.WriteHeader(http.StatusConflict)
 	w.Write(text)
 	return false
 }
 
-func (n *Node) takeRaft(w http.ResponseWriter, r *http.Request) {
+func (n *Server) takeRaft(w http.ResponseWriter, r *http.Request) {
 	if !n.ours(w, r, true) {
 		return
 	}
@@ -547,7 +547,7 @@
 	w.WriteHeader(status)
 }
 
-func (n *Node) tellKnown(w http.ResponseWriter, r *http.Request) {
+func (n *Server) tellKnown(w http.ResponseWriter, r *http.Request) {
 	if !n.ours(w, r, true) {
 		return
 	}
@@ -562,7 +562,7 @@
 }
 
 // tellSnapshot gives what is agreed on, as a majority knows it, to be kept.
-func (n *Node) tellSnapshot(w http.ResponseWriter, r *http.Request) {
+func (n *Server) tellSnapshot(w http.ResponseWriter, r *http.Request) {
 	if !n.ours(w, r, false) {
 		return
 	}
@@ -573,13 +573,13 @@
 	got := make(chan result, 1)
 	n.do(r.Context(), func() {
 		if n.member == nil {
-			got <- result{nil, council.NotLeader{}}
+			got <- result{nil, coordination.NotLeaderError{}}
 			return
 		}
 		n.member.Read(func(err error) {
 			var data []byte
 			if err == nil {
-				data, err = council.Seal(n.member.State())
+				data, err = coordination.EncodeSnapshot(n.member.State())
 			}
 			got <- result{data, err}
 		})
@@ -597,24 +597,24 @@
 }
 
 // takeAsk answers one question.
-func (n *Node) takeAsk(w http.ResponseWriter, r *http.Request) {
+func (n *Server) takeAsk(w http.ResponseWriter, r *http.Request) {
 	if !n.ours(w, r, false) {
 		return
 	}
-	var q ask.Question
+	var q client.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&q); err != nil {
-		text, _ := json.Marshal(ask.Answer{Council: n.of, Member: n.number, Refused: "question: " + err.Error()})
+		text, _ := json.Marshal(client.Response{Cluster: n.of, Member: n.number, Rejection: "question: " + err.Error()})
 		w.Write(text)
 		return
 	}
-	got := make(chan *ask.Answer, 1)
-	end := time.Now().Add(min(ask.MostWait, time.Duration(q.WaitMS)*time.Millisecond))
+	got := make(chan *client.Response, 1)
+	end := time.Now().Add(min(client.MaxWait, time.Duration(q.WaitMS)*time.Millisecond))
 	for {
 		var changed chan struct{}
 		if !n.do(r.Context(), func() { changed = n.waitsFor(q); n.answer(q, got) }) {
 			return
 		}
-		var a *ask.Answer
+		var a *client.Response
 		select {
 		case a = <-got:
 		case <-r.Context().Done():
@@ -642,37 +642,37 @@
 }
 
 // waitsFor returns what is closed when a poll may have another answer. Run's goroutine.
-func (n *Node) waitsFor(q ask.Question) chan struct{} {
-	if q.Kind == ask.Follow {
+func (n *Server) waitsFor(q client.Request) chan struct{} {
+	if q.Kind == client.WatchConfiguration {
 		return n.follow.news
 	}
 	return n.changed
 }
 
 // polls tells whether a question waits for another answer than this one.
-func polls(q ask.Question, a *ask.Answer) bool {
+func polls(q client.Request, a *client.Response) bool {
 	switch q.Kind {
-	case ask.Hear:
-		return a.Index <= q.Seen
-	case ask.Follow:
-		return a.No == "" && a.Update.Version <= q.Version
+	case client.WatchLeases:
+		return a.Index <= q.SeenIndex
+	case client.WatchConfiguration:
+		return a.Unavailable == "" && a.Update.Version <= q.Version
 	}
 	return false
 }
 
 // answer answers a question to got, which takes one. Run's goroutine.
-func (n *Node) answer(q ask.Question, got chan *ask.Answer) {
-	a := &ask.Answer{Council: n.of, Member: n.number, LeaseMS: n.file.Lease.Milliseconds(), MarginMS: n.file.Margin.Milliseconds(), Strange: n.strange, Version: council.StateVersion}
+func (n *Server) answer(q client.Request, got chan *client.Response) {
+	a := &client.Response{Cluster: n.of, Member: n.number, LeaseMS: n.file.Lease.Milliseconds(), MarginMS: n.file.Margin.Milliseconds(), WrongClusterCalls: n.strange, Version: coordination.StateVersion}
 	m := n.member
 	if m == nil {
-		a.No = "found no majority that knows this member, wanted one: it does not take part yet"
+		a.Unavailable = "found no majority that knows this member, wanted one: it does not take part yet"
 		got <- a
 		return
 	}
 	a.Term, _, a.Index = m.Status()
-	a.Leads, a.Voters, a.Learn, a.Syncs = m.Leads(), m.Voters(), m.Learners(), n.store.Syncs
-	end := func(r council.Result, err error) {
-		a.Refused, a.Duty = r.Refused, r.Duty
+	a.IsLeader, a.Voters, a.Learners, a.Syncs = m.IsLeader(), m.Voters(), m.Learners(), n.store.Syncs
+	end := func(r coordination.Result, err error) {
+		a.Rejection, a.Lease = r.Rejection, r.Lease
 		n.no(a, err)
 		got <- a
 	}
@@ -685,96 +685,96 @@
 		})
 	}
 	switch q.Kind {
-	case council.Take, council.Give, council.Note, council.Raise, council.Begin, council.End, council.Facts:
-		m.Propose(council.Command{Kind: q.Kind, Who: q.Who, Duty: q.Duty, Epoch: q.Epoch, ID: q.ID, Data: q.Data}, end)
-	case council.Can:
-		m.Propose(council.Command{Kind: q.Kind, Member: q.Member, Epoch: q.Epoch}, end)
-	case ask.Renew:
-		m.Renew(q.Duty, q.Epoch, func(err error) {
-			d := m.State().Duties[q.Duty]
+	case client.AcquireLease, client.ReleaseLease, client.WriteCheckpoint, client.AdvanceToken, client.RequestOperation, client.CompleteOperation, client.SetHostStatus:
+		m.Propose(coordination.Command{Kind: coordination.CommandKind(q.Kind), Subject: q.Subject, Lease: q.Lease, Token: q.Token, OperationID: q.OperationID, Data: q.Data}, end)
+	case client.AdvertiseVersion:
+		m.Propose(coordination.Command{Kind: coordination.CommandKind(q.Kind), Member: q.Member, Token: q.Token}, end)
+	case client.RenewLease:
+		m.RenewLease(q.Lease, q.Token, func(err error) {
+			d := m.State().Leases[q.Lease]
 			if d != nil {
-				a.Duty = d.Copy()
+				a.Lease = d.Copy()
 			}
-			var other council.NotLeader
-			if err != nil && !errors.As(err, &other) && !errors.Is(err, council.ErrBusy) {
-				a.Refused, err = err.Error(), nil
+			var other coordination.NotLeaderError
+			if err != nil && !errors.As(err, &other) && !errors.Is(err, coordination.ErrBusy) {
+				a.Rejection, err = err.Error(), nil
 			}
 			n.no(a, err)
 			got <- a
 		})
-	case ask.State:
-		read(func() { a.State, a.Reports, a.Duties = m.State().WithoutConfiguration(), n.said(), tenants(m.State()) })
-	case ask.Hear:
-		a.Duties, a.Open = tenants(m.State()), map[string]bool{}
-		for _, o := range m.State().Orders {
-			if o.End == "" {
-				a.Open[o.Duty] = true
+	case client.ReadState:
+		read(func() { a.State, a.Reports, a.Holders = m.State().WithoutConfiguration(), n.said(), tenants(m.State()) })
+	case client.WatchLeases:
+		a.Holders, a.PendingOperations = tenants(m.State()), map[string]bool{}
+		for _, o := range m.State().Operations {
+			if o.Outcome == "" {
+				a.PendingOperations[o.Lease] = true
 			}
 		}
 		got <- a
-	case ask.Report:
-		if len(q.Data) > mostReport || len(n.reports) >= council.MostHosts && n.reports[q.Who].data == nil {
-			a.Refused = fmt.Sprintf("report of %s: found %d bytes and %d hosts, wanted %d and %d at most", q.Who, len(q.Data), len(n.reports), mostReport, council.MostHosts)
-		} else if !m.Leads() {
-			n.no(a, council.NotLeader{Leader: m.Leader()})
+	case client.ReportHost:
+		if len(q.Data) > mostReport || len(n.reports) >= coordination.MaxHosts && n.reports[q.Subject].data == nil {
+			a.Rejection = fmt.Sprintf("report of %s: found %d bytes and %d hosts, wanted %d and %d at most", q.Subject, len(q.Data), len(n.reports), mostReport, coordination.MaxHosts)
+		} else if !m.IsLeader() {
+			n.no(a, coordination.NotLeaderError{Leader: m.Leader()})
 		} else {
-			n.reports[q.Who] = said{q.Data, n.ticks}
+			n.reports[q.Subject] = said{q.Data, n.ticks}
 		}
 		got <- a
-	case ask.Configure:
+	case client.ChangeConfiguration:
 		n.configure(q, a, got)
-	case ask.Follow:
+	case client.WatchConfiguration:
 		n.followed(q, a, got)
-	case ask.Resource:
-		read(func() { resource(q.Service, m.State().Configured(), a) })
-	case ask.Add:
-		m.Change(raftpb.ConfChangeAddLearnerNode, q.Member, q.Address, end)
-	case ask.Remove:
-		m.Change(raftpb.ConfChangeRemoveNode, q.Member, "", end)
-	case ask.StepDown:
-		if !m.Leads() {
-			n.no(a, council.NotLeader{Leader: m.Leader()})
-		} else if q.Duty != "" {
-			a.Refused = m.EndTenure(q.Duty)
-		} else if err := m.StepDown(); err != nil {
-			a.Refused = err.Error()
+	case client.ReadConfiguration:
+		read(func() { resource(q.Service, m.State().ConfigurationStore(), a) })
+	case client.AddMember:
+		m.ChangeMembership(raftpb.ConfChangeAddLearnerNode, q.Member, q.Address, end)
+	case client.RemoveMember:
+		m.ChangeMembership(raftpb.ConfChangeRemoveNode, q.Member, "", end)
+	case client.StepDown:
+		if !m.IsLeader() {
+			n.no(a, coordination.NotLeaderError{Leader: m.Leader()})
+		} else if q.Lease != "" {
+			a.Rejection = m.RevokeLease(q.Lease)
+		} else if err := m.TransferLeadership(); err != nil {
+			a.Rejection = err.Error()
 		}
 		got <- a
 	default:
-		a.Refused = fmt.Sprintf("kind: found %q, wanted one that is known", q.Kind)
+		a.Rejection = fmt.Sprintf("kind: found %q, wanted one that is known", q.Kind)
 		got <- a
 	}
 }
 
 // no words an error in an answer.
-func (n *Node) no(a *ask.Answer, err error) {
+func (n *Server) no(a *client.Response, err error) {
 	if err == nil {
 		return
 	}
-	a.No, a.Unknown = err.Error(), errors.Is(err, council.ErrUnknown)
-	var other council.NotLeader
+	a.Unavailable, a.OutcomeUnknown = err.Error(), errors.Is(err, coordination.ErrUnknownOutcome)
+	var other coordination.NotLeaderError
 	if errors.As(err, &other) && other.Leader != 0 {
 		a.Leader = n.address(other.Leader)
 	}
 }
 
-func tenants(s *council.State) map[string]council.Tenant {
-	all := map[string]council.Tenant{}
-	for name, d := range s.Duties {
-		all[name] = council.Tenant{Owner: d.Owner, Epoch: d.Epoch}
+func tenants(s *coordination.State) map[string]coordination.Holder {
+	all := map[string]coordination.Holder{}
+	for name, d := range s.Leases {
+		all[name] = coordination.Holder{Name: d.Holder, Token: d.Token}
 	}
 	return all
 }
 
-func (n *Node) said() map[string]ask.Said {
-	all := map[string]ask.Said{}
+func (n *Server) said() map[string]client.HostReport {
+	all := map[string]client.HostReport{}
 	for who, s := range n.reports {
 		age := time.Duration(n.ticks-s.at) * n.file.Tick
 		if age > time.Minute {
 			delete(n.reports, who)
 			continue
 		}
-		all[who] = ask.Said{Data: s.data, AgeMS: age.Milliseconds()}
+		all[who] = client.HostReport{Data: s.data, AgeMS: age.Milliseconds()}
 	}
 	return all
 }
--- a/internal/fleet/council/node/node_test.go
+++ b/internal/fleet/coordination/server/server_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 const patience = 60 * time.Second
@@ -31,10 +31,10 @@
 	if words := strings.Fields(os.Getenv("TEST_MEMBER")); len(words) == 3 {
 		number, _ := strconv.ParseUint(words[1], 10, 64)
 		begin, _ := strconv.Atoi(words[2])
-		f, err := LoadFile(words[0])
+		f, err := LoadConfig(words[0])
 		if err == nil {
-			var n *Node
-			if n, err = Open(f, number, Begin(begin), slog.New(slog.NewTextHandler(os.Stderr, nil))); err == nil {
+			var n *Server
+			if n, err = Open(f, number, StartMode(begin), slog.New(slog.NewTextHandler(os.Stderr, nil))); err == nil {
 				ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 				err = n.Run(ctx)
 			}
@@ -54,7 +54,7 @@
 type world struct {
 	t     testing.TB
 	path  string
-	file  *File
+	file  *Config
 	procs map[int]*exec.Cmd
 }
 
@@ -79,7 +79,7 @@
 	}
 	os.WriteFile(w.path, []byte(b.String()), 0o600)
 	var err error
-	if w.file, err = LoadFile(w.path); err != nil {
+	if w.file, err = LoadConfig(w.path); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -93,12 +93,12 @@
 	return w
 }
 
-func (w *world) start(i int, begin Begin) {
+func (w *world) start(i int, begin StartMode) {
 	w.t.Helper()
 	w.startOf(i, begin, w.path)
 }
 
-func (w *world) startOf(i int, begin Begin, path string) {
+func (w *world) startOf(i int, begin StartMode, path string) {
 	w.t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), fmt.Sprintf("TEST_MEMBER=%s %d %d", path, i, begin))
@@ -141,28 +141,28 @@
 }
 
 // asks asks until there is an answer.
-func (w *world) asks(q ask.Question) *ask.Answer {
+func (w *world) asks(q client.Request) *client.Response {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	c := ask.NewClient("test", w.file.Addresses())
+	c := client.NewClient("test", w.file.Addresses())
 	defer c.Close()
 	for {
 		a, err := c.Do(ctx, q)
 		if err == nil {
 			return a
 		}
-		if !errors.Is(err, ask.ErrUnknown) || ctx.Err() != nil {
+		if !errors.Is(err, client.ErrUnknownOutcome) || ctx.Err() != nil {
 			w.t.Fatalf("%+v: %v", q, err)
 		}
 	}
 }
 
 // one asks one member.
-func (w *world) one(i int, q ask.Question) (*ask.Answer, error) {
+func (w *world) one(i int, q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	return ask.Call(ctx, http.DefaultClient, w.file.members()[uint64(i)], "test", q)
+	return client.Call(ctx, http.DefaultClient, w.file.members()[uint64(i)], "test", q)
 }
 
 // leader awaits a leader and returns its number.
@@ -173,7 +173,7 @@
 			if i == but {
 				continue
 			}
-			if a, err := w.one(i, ask.Question{Kind: ask.State}); err == nil && a.No == "" {
+			if a, err := w.one(i, client.Request{Kind: client.ReadState}); err == nil && a.Unavailable == "" {
 				return i
 			}
 		}
@@ -183,11 +183,11 @@
 }
 
 // take takes a duty as soon as it is free, and returns the epoch.
-func (w *world) take(who string) council.Epoch {
+func (w *world) take(who string) coordination.FencingToken {
 	w.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if a := w.asks(ask.Question{Kind: council.Take, Who: who, Duty: "roll"}); a.Duty != nil && a.Duty.Owner == who {
-			return a.Duty.Epoch
+		if a := w.asks(client.Request{Kind: client.AcquireLease, Subject: who, Lease: "roll"}); a.Lease != nil && a.Lease.Holder == who {
+			return a.Lease.Token
 		}
 	}
 	w.t.Fatalf("%s does not get the duty", who)
@@ -200,31 +200,31 @@
 	t.Parallel()
 	w := build(t, t.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
-		w.start(i, New)
+		w.start(i, Bootstrap)
 	}
 	first := w.take("h1")
 	// What a host says of itself is kept by the leader, and members say what they can.
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		w.asks(ask.Question{Kind: ask.Report, Who: "h1", Data: []byte(`{"up":3}`)})
-		a := w.asks(ask.Question{Kind: ask.State})
-		if a.State.Able[1] == council.StateVersion && string(a.Reports["h1"].Data) == `{"up":3}` {
+		w.asks(client.Request{Kind: client.ReportHost, Subject: "h1", Data: []byte(`{"up":3}`)})
+		a := w.asks(client.Request{Kind: client.ReadState})
+		if a.State.SupportedVersions[1] == coordination.StateVersion && string(a.Reports["h1"].Data) == `{"up":3}` {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("able %v, reports %v", a.State.Able, a.Reports)
+			t.Fatalf("able %v, reports %v", a.State.SupportedVersions, a.Reports)
 		}
 	}
 	for i := 1; i <= 3; i++ {
 		w.kill(i)
 	}
-	w.start(3, Again)
-	w.start(1, Again)
-	if got := w.asks(ask.Question{Kind: ask.State}).State.Duties["roll"]; got.Epoch != first || got.Owner != "h1" {
+	w.start(3, Resume)
+	w.start(1, Resume)
+	if got := w.asks(client.Request{Kind: client.ReadState}).State.Leases["roll"]; got.Token != first || got.Holder != "h1" {
 		t.Errorf("after the kill: %+v, wanted h1's %v", got, first)
 	}
-	w.start(2, Again)
-	if a := w.asks(ask.Question{Kind: ask.Renew, Duty: "roll", Epoch: first}); a.Refused != "" {
-		t.Errorf("renewed: %s", a.Refused)
+	w.start(2, Resume)
+	if a := w.asks(client.Request{Kind: client.RenewLease, Lease: "roll", Token: first}); a.Rejection != "" {
+		t.Errorf("renewed: %s", a.Rejection)
 	}
 	// Nobody renews: the lease runs out, and the next epoch is newer.
 	second := w.take("h2")
@@ -234,13 +234,13 @@
 	old := w.leader(0)
 	w.procs[old].Process.Signal(syscall.SIGSTOP)
 	w.leader(old)
-	if a := w.asks(ask.Question{Kind: council.Note, Duty: "roll", Who: "h1", Epoch: first, Data: []byte(`"late"`)}); a.Refused == "" {
+	if a := w.asks(client.Request{Kind: client.WriteCheckpoint, Lease: "roll", Subject: "h1", Token: first, Data: []byte(`"late"`)}); a.Rejection == "" {
 		t.Error("the note of a late owner was taken")
 	}
 	third := w.take("h3")
 	w.procs[old].Process.Signal(syscall.SIGCONT)
 	// The old leader has h2's renewal in its memory, and must not confirm it.
-	if a, err := w.one(old, ask.Question{Kind: ask.Renew, Duty: "roll", Epoch: second}); err == nil && a.No == "" && a.Refused == "" {
+	if a, err := w.one(old, client.Request{Kind: client.RenewLease, Lease: "roll", Token: second}); err == nil && a.Unavailable == "" && a.Rejection == "" {
 		t.Errorf("the old leader renewed epoch %v after %v was given: %+v", second, third, a)
 	}
 	// A member alone says no at once.
@@ -250,11 +250,11 @@
 		}
 	}
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		a, err := w.one(old, ask.Question{Kind: council.Take, Who: "h4", Duty: "roll"})
-		if err == nil && a.No != "" && a.Leader == "" && !a.Unknown {
+		a, err := w.one(old, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"})
+		if err == nil && a.Unavailable != "" && a.Leader == "" && !a.OutcomeUnknown {
 			break
 		}
-		if err == nil && a.No == "" && a.Refused == "" {
+		if err == nil && a.Unavailable == "" && a.Rejection == "" {
 			t.Fatalf("a member alone gave the duty away: %+v", a)
 		}
 		if time.Now().After(end) {
@@ -268,10 +268,10 @@
 	t.Parallel()
 	dir := t.TempDir()
 	w := build(t, dir, 3)
-	w.start(1, Again)
+	w.start(1, Resume)
 	w.refused(1, "found no state, wanted member 1's")
 	for i := 1; i <= 3; i++ {
-		w.start(i, New)
+		w.start(i, Bootstrap)
 	}
 	w.take("h1")
 	// Yesterday's disk.
@@ -281,10 +281,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.start(2, Again)
+	w.start(2, Resume)
 	second := w.take("h2")
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		if a, err := w.one(2, ask.Question{Kind: ask.Hear}); err == nil && a.Duties["roll"].Epoch == second {
+		if a, err := w.one(2, client.Request{Kind: client.WatchLeases}); err == nil && a.Holders["roll"].Token == second {
 			break
 		}
 		if time.Now().After(end) {
@@ -294,19 +294,19 @@
 	w.kill(2)
 	today, _ := os.ReadFile(own)
 	os.WriteFile(own, yesterday, 0o600)
-	w.start(2, Again)
+	w.start(2, Resume)
 	w.refused(2, "this disk is an older one")
 	// Another member's, and a second process on one's own.
 	text, _ := os.ReadFile(storePath(w.file.directory(3)))
 	w.kill(3)
 	os.WriteFile(own, text, 0o600)
-	w.start(2, Again)
+	w.start(2, Resume)
 	w.refused(2, "found the state of member 3, wanted member 2's")
 	os.WriteFile(own, today, 0o600)
-	w.start(2, Again)
+	w.start(2, Resume)
 	w.leader(0)
 	c := w.procs[2]
-	w.start(2, Again)
+	w.start(2, Resume)
 	w.refused(2, "another member has this directory")
 	w.procs[2] = c
 	// A newer program's, and another council's.
@@ -317,9 +317,9 @@
 	}
 	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyForm, number(form+1)) })
 	db.Close()
-	w.start(2, Again)
+	w.start(2, Resume)
 	w.refused(2, "a newer program wrote it")
-	w.start(1, New)
+	w.start(1, Bootstrap)
 	w.refused(1, "found a state, wanted none")
 }
 
@@ -331,33 +331,33 @@
 	text, _ := os.ReadFile(b.path)
 	os.WriteFile(b.path, []byte(strings.Replace(string(text), b.file.Members[2].Address, a.file.Members[0].Address, 1)), 0o600)
 	var err error
-	if b.file, err = LoadFile(b.path); err != nil {
+	if b.file, err = LoadConfig(b.path); err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i <= 3; i++ {
-		a.start(i, New)
+		a.start(i, Bootstrap)
 	}
-	b.start(1, New)
-	b.start(2, New)
+	b.start(1, Bootstrap)
+	b.start(2, Bootstrap)
 	first := a.take("h1")
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	// A client of the first that is sent to the second does not believe it.
-	c := ask.NewClient("test", a.file.Addresses())
+	c := client.NewClient("test", a.file.Addresses())
 	defer c.Close()
-	if _, err := c.Do(ctx, ask.Question{Kind: ask.State}); err != nil {
+	if _, err := c.Do(ctx, client.Request{Kind: client.ReadState}); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		got, err := a.one(1, ask.Question{Kind: ask.Hear})
-		if err == nil && got.Strange > 0 && got.Duties["roll"].Epoch == first {
+		got, err := a.one(1, client.Request{Kind: client.WatchLeases})
+		if err == nil && got.WrongClusterCalls > 0 && got.Holders["roll"].Token == first {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("the first council has refused nothing of the second: %+v %v", got, err)
 		}
 	}
-	if got, err := b.one(1, ask.Question{Kind: ask.Hear}); err != nil || len(got.Duties) != 0 {
+	if got, err := b.one(1, client.Request{Kind: client.WatchLeases}); err != nil || len(got.Holders) != 0 {
 		t.Errorf("the second council knows of %+v (%v)", got, err)
 	}
 }
@@ -373,19 +373,19 @@
 	three := filepath.Join(dir, "three.toml")
 	os.WriteFile(three, text[:at], 0o600)
 	for i := 1; i <= 3; i++ {
-		w.startOf(i, New, three)
+		w.startOf(i, Bootstrap, three)
 	}
 	first := w.take("h1")
-	change := func(q ask.Question) string {
+	change := func(q client.Request) string {
 		t.Helper()
-		return w.asks(q).Refused
+		return w.asks(q).Rejection
 	}
 	voters := func(want string) {
 		t.Helper()
 		got := ""
 		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			a := w.asks(ask.Question{Kind: ask.State})
-			if got = fmt.Sprint(a.Voters, a.Learn); got == want {
+			a := w.asks(client.Request{Kind: client.ReadState})
+			if got = fmt.Sprint(a.Voters, a.Learners); got == want {
 				return
 			}
 		}
@@ -393,8 +393,8 @@
 	}
 	for i := 4; i <= 5; i++ {
 		for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-			a, err := w.client(ask.Question{Kind: ask.Add, Member: uint64(i), Address: all[i-1].Address})
-			if err == nil && a.Refused == "" || a != nil && strings.Contains(a.Refused, "given out before") {
+			a, err := w.client(client.Request{Kind: client.AddMember, Member: uint64(i), Address: all[i-1].Address})
+			if err == nil && a.Rejection == "" || a != nil && strings.Contains(a.Rejection, "given out before") {
 				break
 			}
 			if time.Now().After(end) {
@@ -405,7 +405,7 @@
 		want := []string{"[1 2 3 4] []", "[1 2 3 4 5] []"}[i-4]
 		voters(want)
 	}
-	if a, err := w.client(ask.Question{Kind: ask.Add, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "given out before") {
+	if a, err := w.client(client.Request{Kind: client.AddMember, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "given out before") {
 		t.Errorf("number 4 a second time: %+v %v", a, err)
 	}
 	// Two of five die, and three go on; the first is replaced by nobody.
@@ -416,17 +416,17 @@
 		t.Errorf("epoch %v after %v", second, first)
 	}
 	_ = change
-	if a, err := w.client(ask.Question{Kind: ask.Remove, Member: 1}); err != nil || a.Refused != "" {
+	if a, err := w.client(client.Request{Kind: client.RemoveMember, Member: 1}); err != nil || a.Rejection != "" {
 		t.Errorf("remove: %+v %v", a, err)
 	}
 	voters("[2 3 4 5] []")
 }
 
 // client asks with a bound, and returns what went wrong.
-func (w *world) client(q ask.Question) (*ask.Answer, error) {
+func (w *world) client(q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	c := ask.NewClient("test", w.file.Addresses())
+	c := client.NewClient("test", w.file.Addresses())
 	defer c.Close()
 	return c.Do(ctx, q)
 }
@@ -437,7 +437,7 @@
 	t.Parallel()
 	w := build(t, t.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
-		w.start(i, New)
+		w.start(i, Bootstrap)
 	}
 	w.take("h1")
 	snap, err := FetchSnapshot(w.file)
@@ -461,13 +461,13 @@
 	if _, err := Restore(w.file, 2, snap, 2, true); err != nil {
 		t.Fatal(err)
 	}
-	w.start(2, Again)
-	w.start(1, Again) // a member of before: it is not of this council
+	w.start(2, Resume)
+	w.start(1, Resume) // a member of before: it is not of this council
 	next := w.take("h3")
 	if next <= last || next.Space() != 2 {
 		t.Errorf("epoch %v after %v", next, last)
 	}
-	if a, err := w.one(1, ask.Question{Kind: council.Take, Who: "h4", Duty: "roll"}); err == nil && a.No == "" {
+	if a, err := w.one(1, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"}); err == nil && a.Unavailable == "" {
 		t.Errorf("a member of before gives the duty away: %+v", a)
 	}
 }
@@ -493,7 +493,7 @@
 	} {
 		path := filepath.Join(dir, "c.toml")
 		os.WriteFile(path, []byte(text), 0o600)
-		if _, err := LoadFile(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := LoadConfig(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, wanted %q in one line", text, err, want)
 		}
 	}
--- a/internal/fleet/council/node/configuration.go
+++ b/internal/fleet/coordination/server/service_configuration.go
@@ -1,11 +1,11 @@
-package node
+package server
 
 import (
 	"fmt"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 // followers wakes the polls that follow the configuration. It belongs to Run's
@@ -31,41 +31,41 @@
 // configure has a change agreed on. One that is refused for what the configuration
 // holds now is not proposed: the refusal is given when a majority has confirmed that
 // this member leads. Run's goroutine.
-func (n *Node) configure(q ask.Question, a *ask.Answer, got chan *ask.Answer) {
-	if !n.member.Leads() {
-		n.no(a, council.NotLeader{Leader: n.member.Leader()})
+func (n *Server) configure(q client.Request, a *client.Response, got chan *client.Response) {
+	if !n.member.IsLeader() {
+		n.no(a, coordination.NotLeaderError{Leader: n.member.Leader()})
 		got <- a
 		return
 	}
 	if q.Change == nil {
-		a.Refused = "change: found none, wanted one"
+		a.Rejection = "change: found none, wanted one"
 		got <- a
 		return
 	}
-	command, err := council.NewConfigure(*q.Change)
+	command, err := coordination.NewConfigurationChange(*q.Change)
 	if err != nil {
-		a.Refused = err.Error()
+		a.Rejection = err.Error()
 		got <- a
 		return
 	}
-	end := func(r council.Result, err error) {
-		a.Refused, a.Conflict = r.Refused, r.Conflict
-		if err == nil && r.Refused == "" {
+	end := func(r coordination.Result, err error) {
+		a.Rejection, a.Conflict = r.Rejection, r.Conflict
+		if err == nil && r.Rejection == "" {
 			a.Resource = &configuration.Resource{Service: q.Change.Service, Version: r.Version, Settings: q.Change.Settings}
 		}
 		n.no(a, err)
 		got <- a
 	}
-	if n.member.State().TryConfigure(command).Refused == "" {
+	if n.member.State().DryRunConfigurationChange(command).Rejection == "" {
 		n.member.Propose(command, end)
 		return
 	}
 	n.member.Read(func(err error) {
 		if err != nil {
-			end(council.Result{}, err)
+			end(coordination.Result{}, err)
 			return
 		}
-		if result := n.member.State().TryConfigure(command); result.Refused != "" {
+		if result := n.member.State().DryRunConfigurationChange(command); result.Rejection != "" {
 			end(result, nil)
 			return
 		}
@@ -77,10 +77,10 @@
 // member does so that knows a leader: that is asked up to where this member has to
 // have applied what was agreed on, so that the answer lacks nothing that is older
 // than the question. Run's goroutine.
-func (n *Node) followed(q ask.Question, a *ask.Answer, got chan *ask.Answer) {
-	n.member.ReadAnywhere(func(err error) {
+func (n *Server) followed(q client.Request, a *client.Response, got chan *client.Response) {
+	n.member.FollowerRead(func(err error) {
 		if n.no(a, err); err == nil {
-			update := n.member.State().Configured().Since(q.Version)
+			update := n.member.State().ConfigurationStore().Since(q.Version)
 			a.Update = &update
 		}
 		got <- a
@@ -88,7 +88,7 @@
 }
 
 // resource answers with the settings of a service, or with the versions of all.
-func resource(service string, store *configuration.Store, a *ask.Answer) {
+func resource(service string, store *configuration.Store, a *client.Response) {
 	if service == "" {
 		a.Services = make(map[string]configuration.Version, len(store.Resources))
 		for name, held := range store.Resources {
@@ -98,7 +98,7 @@
 	}
 	held := store.Resources[service]
 	if held == nil {
-		a.Refused = fmt.Sprintf("service %s: found no such service", service)
+		a.Rejection = fmt.Sprintf("service %s: found no such service", service)
 		return
 	}
 	copied := *held
--- a/internal/fleet/council/node/configuration_test.go
+++ b/internal/fleet/coordination/server/service_configuration_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 // configurable starts a council of three and awaits that all can apply changes.
@@ -23,7 +23,7 @@
 	t.Helper()
 	w := build(t, t.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
-		w.start(i, New)
+		w.start(i, Bootstrap)
 	}
 	w.able()
 	return w
@@ -33,12 +33,12 @@
 func (w *world) able() {
 	w.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		s := w.asks(ask.Question{Kind: ask.State}).State
-		if s.Needs(council.StateVersion, []uint64{1, 2, 3}) {
+		s := w.asks(client.Request{Kind: client.ReadState}).State
+		if s.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("members can apply %v, wanted version %d", s.Able, council.StateVersion)
+			w.t.Fatalf("members can apply %v, wanted version %d", s.SupportedVersions, coordination.StateVersion)
 		}
 	}
 }
@@ -48,9 +48,9 @@
 }
 
 // configures has a change agreed on.
-func (w *world) configures(change *configuration.Change) *ask.Answer {
+func (w *world) configures(change *configuration.Change) *client.Response {
 	w.t.Helper()
-	return w.asks(ask.Question{Kind: ask.Configure, Change: change})
+	return w.asks(client.Request{Kind: client.ChangeConfiguration, Change: change})
 }
 
 // A change is agreed on and read back, every member hands it on, and a poll that
@@ -59,20 +59,20 @@
 	t.Parallel()
 	w := configurable(t)
 	first := w.configures(changeOf("a", "mail", 0, `{"tenants":[{"name":"x","quota-per-s":5}]}`))
-	if first.Refused != "" || first.Resource == nil || first.Resource.Version != configuration.NewVersion(1, 1) {
+	if first.Rejection != "" || first.Resource == nil || first.Resource.Version != configuration.NewVersion(1, 1) {
 		t.Fatalf("first change: %+v", first)
 	}
-	read := w.asks(ask.Question{Kind: ask.Resource, Service: "mail"})
+	read := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "mail"})
 	if read.Resource == nil || read.Resource.Version != first.Resource.Version || !strings.Contains(string(read.Resource.Settings), `"quota-per-s":5`) {
 		t.Errorf("read back: %+v", read)
 	}
-	if a := w.asks(ask.Question{Kind: ask.Resource, Service: "post"}); a.Refused == "" {
+	if a := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "post"}); a.Rejection == "" {
 		t.Errorf("an unknown service: %+v, wanted a refusal", a)
 	}
-	if a := w.asks(ask.Question{Kind: ask.Resource}); len(a.Services) != 1 || a.Services["mail"] != first.Resource.Version {
+	if a := w.asks(client.Request{Kind: client.ReadConfiguration}); len(a.Services) != 1 || a.Services["mail"] != first.Resource.Version {
 		t.Errorf("all services: %+v", a.Services)
 	}
-	if s := w.asks(ask.Question{Kind: ask.State}).State; s.Configuration != nil {
+	if s := w.asks(client.Request{Kind: client.ReadState}).State; s.Configuration != nil {
 		t.Error("the state of a supervisor's question carries the configuration")
 	}
 	if snapshot, err := FetchSnapshot(w.file); err != nil || !strings.Contains(string(snapshot), "quota-per-s") {
@@ -89,7 +89,7 @@
 			t.Errorf("member %d: %+v, wanted an update without news", i, u)
 		}
 		polls.Go(func() {
-			news := func(a *ask.Answer) bool { return a.Update != nil && a.Update.Version > held }
+			news := func(a *client.Response) bool { return a.Update != nil && a.Update.Version > held }
 			if u := w.polls(i, held, 2000, news).Update; u.Snapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
 				t.Errorf("member %d: %+v, wanted what is new alone", i, u)
 			}
@@ -100,29 +100,29 @@
 }
 
 // polls asks a member for the configuration until it has an answer that is wanted.
-func (w *world) polls(i int, version configuration.Version, waitMS int, wanted func(*ask.Answer) bool) *ask.Answer {
-	var a *ask.Answer
+func (w *world) polls(i int, version configuration.Version, waitMS int, wanted func(*client.Response) bool) *client.Response {
+	var a *client.Response
 	var err error
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if a, err = w.one(i, ask.Question{Kind: ask.Follow, Version: version, WaitMS: waitMS}); err == nil && wanted(a) {
+		if a, err = w.one(i, client.Request{Kind: client.WatchConfiguration, Version: version, WaitMS: waitMS}); err == nil && wanted(a) {
 			return a
 		}
 	}
 	w.t.Errorf("member %d from version %v on: %+v, %v, wanted another answer", i, version, a, err)
-	return &ask.Answer{Update: &configuration.Update{}}
+	return &client.Response{Update: &configuration.Update{}}
 }
 
 // updates is the answer of a member that knows a leader.
-func updates(a *ask.Answer) bool { return a.Update != nil }
+func updates(a *client.Response) bool { return a.Update != nil }
 
 // withinTerm measures between two looks at the leader, anew where another leader has
 // come between them.
-func (w *world) withinTerm(do func()) (before, after *ask.Answer) {
+func (w *world) withinTerm(do func()) (before, after *client.Response) {
 	w.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
-		before = w.asks(ask.Question{Kind: ask.State})
+		before = w.asks(client.Request{Kind: client.ReadState})
 		do()
-		after = w.asks(ask.Question{Kind: ask.State})
+		after = w.asks(client.Request{Kind: client.ReadState})
 		if before.Term == after.Term {
 			return before, after
 		}
@@ -155,7 +155,7 @@
 	before, after := w.withinTerm(func() {
 		for name, test := range tests {
 			a := w.configures(test.change)
-			if !strings.Contains(a.Refused, test.want) || strings.Contains(a.Refused, "\n") || a.Conflict != test.conflict || a.Resource != nil {
+			if !strings.Contains(a.Rejection, test.want) || strings.Contains(a.Rejection, "\n") || a.Conflict != test.conflict || a.Resource != nil {
 				t.Errorf("%s: %+v, wanted %q in one line and conflict %v", name, a, test.want, test.conflict)
 			}
 		}
@@ -172,7 +172,7 @@
 	w := configurable(t)
 	version := w.configures(changeOf("first", "mail", 0, `{}`)).Resource.Version
 	for round := range 20 {
-		var answers [2]*ask.Answer
+		var answers [2]*client.Response
 		var operators sync.WaitGroup
 		for i := range answers {
 			operators.Go(func() {
@@ -181,19 +181,19 @@
 		}
 		operators.Wait()
 		winner := 0
-		if answers[0].Refused != "" {
+		if answers[0].Rejection != "" {
 			winner = 1
 		}
 		loser := answers[1-winner]
-		if answers[winner].Refused != "" || !loser.Conflict || loser.Refused == "" {
+		if answers[winner].Rejection != "" || !loser.Conflict || loser.Rejection == "" {
 			t.Fatalf("round %d: %+v and %+v, wanted one to win and a conflict", round, answers[0], answers[1])
 		}
-		read := w.asks(ask.Question{Kind: ask.Resource, Service: "mail"}).Resource
+		read := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource
 		if read.Version != answers[winner].Resource.Version || read.Version != version+1 || !strings.Contains(string(read.Settings), fmt.Sprint("by-", winner)) {
 			t.Fatalf("round %d: %+v, wanted what %d wrote, at one version on from %v", round, read, winner, version)
 		}
 		again := w.configures(changeOf(fmt.Sprintf("round-%d-%d", round, winner), "mail", version, `{}`))
-		if again.Refused != "" || again.Resource.Version != read.Version {
+		if again.Rejection != "" || again.Resource.Version != read.Version {
 			t.Fatalf("round %d: sent again: %+v, wanted version %v", round, again, read.Version)
 		}
 		version = read.Version
@@ -219,24 +219,24 @@
 	}
 
 	// A poll that waits hears of the loss long before its wait is over.
-	noes := make(chan *ask.Answer, 1)
+	noes := make(chan *client.Response, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), ask.MostWait-time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), client.MaxWait-time.Second)
 		defer cancel()
-		q := ask.Question{Kind: ask.Follow, Version: newer, WaitMS: int(ask.MostWait.Milliseconds())}
-		a, err := ask.Call(ctx, http.DefaultClient, w.file.members()[uint64(other)], "test", q)
+		q := client.Request{Kind: client.WatchConfiguration, Version: newer, WaitMS: int(client.MaxWait.Milliseconds())}
+		a, err := client.Call(ctx, http.DefaultClient, w.file.members()[uint64(other)], "test", q)
 		if err != nil {
-			a = &ask.Answer{Refused: err.Error()}
+			a = &client.Response{Rejection: err.Error()}
 		}
 		noes <- a
 	}()
 	time.Sleep(100 * time.Millisecond) // likely enough that the poll waits
 	w.kill(leader)
 	w.kill(stopped)
-	if a := <-noes; a.No == "" {
+	if a := <-noes; a.Unavailable == "" {
 		t.Errorf("a poll that waits for a member alone: %+v, wanted a no", a)
 	}
-	if a, err := w.one(other, ask.Question{Kind: ask.Follow, WaitMS: 2000}); err != nil || a.No == "" {
+	if a, err := w.one(other, client.Request{Kind: client.WatchConfiguration, WaitMS: 2000}); err != nil || a.Unavailable == "" {
 		t.Errorf("a member alone: %+v, %v, wanted a no", a, err)
 	}
 }
@@ -249,8 +249,8 @@
 	const single, together = 50, 200
 	change := func(id string, i int, ifVersion *configuration.Version) {
 		a := w.configures(&configuration.Change{ID: id, Service: fmt.Sprint("service-", i), IfVersion: ifVersion, Settings: json.RawMessage(`{}`)})
-		if a.Refused != "" {
-			t.Errorf("%s: %s", id, a.Refused)
+		if a.Rejection != "" {
+			t.Errorf("%s: %s", id, a.Rejection)
 		}
 	}
 	atOnce := func(round string, ifVersion *configuration.Version) {
@@ -320,7 +320,7 @@
 			var polls sync.WaitGroup
 			for k := range relays {
 				polls.Go(func() {
-					w.polls(1+k%3, version, 2000, func(a *ask.Answer) bool { return a.Update != nil && a.Update.Version > version })
+					w.polls(1+k%3, version, 2000, func(a *client.Response) bool { return a.Update != nil && a.Update.Version > version })
 				})
 			}
 			changes++
--- a/internal/fleet/council/node/store.go
+++ b/internal/fleet/coordination/server/store.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"encoding/binary"
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/inject"
 )
 
@@ -46,7 +46,7 @@
 
 // createStore makes the disk of a member that begins. A directory that has a state
 // is refused.
-func createStore(dir, name string, member uint64, d council.Disk) error {
+func createStore(dir, name string, member uint64, d coordination.PersistentState) error {
 	if err := disk.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 		return errors.Join(meta.Put(keyForm, number(form)), meta.Put(keyMember, number(member)), meta.Put(keyCouncil, []byte(name)))
 	})
 	if err == nil {
-		err = s.save(council.Output{Hard: d.Hard, Snapshot: d.Snapshot, Sync: true})
+		err = s.save(coordination.Ready{HardState: d.HardState, Snapshot: d.Snapshot, MustSync: true})
 	}
 	if err = errors.Join(err, s.db.Close()); err != nil {
 		return err
@@ -92,8 +92,8 @@
 
 // openStore opens a member's disk and reads all of it. It is refused where it is
 // another's, another council's or a newer program's.
-func openStore(dir, name string, member uint64) (*store, string, council.Disk, error) {
-	var d council.Disk
+func openStore(dir, name string, member uint64) (*store, string, coordination.PersistentState, error) {
+	var d coordination.PersistentState
 	if _, err := os.Stat(storePath(dir)); err != nil {
 		return nil, "", d, fmt.Errorf("%s: %w", dir, errEmpty)
 	}
@@ -117,8 +117,8 @@
 			return fmt.Errorf("found the state of council %q, wanted %q's", nameOf(of), name)
 		}
 		if text := meta.Get(keyHard); text != nil {
-			d.Hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(text, d.Hard); err != nil {
+			d.HardState = &raftpb.HardState{}
+			if err := proto.Unmarshal(text, d.HardState); err != nil {
 				return err
 			}
 		}
@@ -179,11 +179,11 @@
 // save puts an output on the disk; after it all of it is there, or the member has
 // to end: what a failed write left can't be known. A commit index alone is not
 // worth a write, and goes with the next.
-func (s *store) save(out council.Output) error {
-	if out.Hard != nil {
-		s.hard = out.Hard
+func (s *store) save(out coordination.Ready) error {
+	if out.HardState != nil {
+		s.hard = out.HardState
 	}
-	if !out.Sync && len(out.Entries) == 0 && out.Snapshot == nil {
+	if !out.MustSync && len(out.Entries) == 0 && out.Snapshot == nil {
 		return nil
 	}
 	err := s.update(func(tx *bolt.Tx) error {
@@ -210,7 +210,7 @@
 		if err := put(meta, keySnap, out.Snapshot); err != nil {
 			return err
 		}
-		return cut(log, 0, out.Keeps)
+		return cut(log, 0, out.CompactTo)
 	})
 	if err == nil {
 		s.hard = nil
--- a/internal/fleet/council/sim_test.go
+++ b/internal/fleet/coordination/sim_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	crand "crypto/rand"
@@ -31,9 +31,9 @@
 	owners  []*simOwner
 	fences  []*Fence
 	mail    []letter
-	cut     map[[2]uint64]bool // from, to
-	by      map[Epoch]string   // whom an epoch was given to
-	newest  []Epoch            // the newest effect that each receiver took
+	cut     map[[2]uint64]bool      // from, to
+	by      map[FencingToken]string // whom an epoch was given to
+	newest  []FencingToken          // the newest effect that each receiver took
 	lease   uint64
 
 	effects, late, handovers, answered int
@@ -55,12 +55,12 @@
 
 type simMember struct {
 	id     uint64
-	disk   Disk
+	disk   PersistentState
 	m      *Member // nil while down
 	awake  int     // step from which on it runs
 	drift  float64
 	clock  float64
-	output *Output // handed out, on the disk at a later step
+	output *Ready // handed out, on the disk at a later step
 	kept   int
 }
 
@@ -69,28 +69,28 @@
 type simOwner struct {
 	name   string
 	awake  int
-	tenure Tenure
-	held   Epoch
+	tenure Leadership
+	held   FencingToken
 	busy   int // step at which an answer is due at the latest
 	effect []effect
 }
 
 type effect struct {
 	to    int
-	epoch Epoch
+	epoch FencingToken
 }
 
 const duty = "roll"
 
 func newSim(t testing.TB, seed uint64, members int) *sim {
-	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]uint64]bool{}, by: map[Epoch]string{}, lease: 30}
+	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]uint64]bool{}, by: map[FencingToken]string{}, lease: 30}
 	crand.Reader = (*chachaReader)(rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16)}))
 	all := map[uint64]string{}
 	for i := range members {
 		all[uint64(i+1)] = fmt.Sprintf("m%d", i+1)
 	}
 	for i := range members {
-		d, err := FirstDisk("sim", all)
+		d, err := BootstrapState("sim", all)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,9 +114,9 @@
 }
 
 // keep puts an output on a member's disk.
-func (m *simMember) keep(out Output) {
-	if out.Hard != nil {
-		m.disk.Hard = proto.Clone(out.Hard).(*raftpb.HardState)
+func (m *simMember) keep(out Ready) {
+	if out.HardState != nil {
+		m.disk.HardState = proto.Clone(out.HardState).(*raftpb.HardState)
 	}
 	for _, e := range out.Entries {
 		for n := len(m.disk.Entries); n > 0 && m.disk.Entries[n-1].GetIndex() >= e.GetIndex(); n-- {
@@ -190,14 +190,14 @@
 			s.post(msg)
 		}
 		m.output = nil
-		if err := m.m.Stored(); err != nil {
+		if err := m.m.Advance(); err != nil {
 			s.fail("member %d: %v", m.id, err)
 		}
 	}
 	for m.clock += m.drift; m.clock >= 1; m.clock-- {
 		m.m.Tick()
 	}
-	if out, ok := m.m.Output(); ok {
+	if out, ok := m.m.Ready(); ok {
 		m.output = &out
 		if s.rng.IntN(3) > 0 {
 			s.runStored(m)
@@ -211,7 +211,7 @@
 		s.post(msg)
 	}
 	m.output = nil
-	if err := m.m.Stored(); err != nil {
+	if err := m.m.Advance(); err != nil {
 		s.fail("member %d: %v", m.id, err)
 	}
 }
@@ -258,7 +258,7 @@
 		e := o.effect[0]
 		o.effect = o.effect[1:]
 		s.effects++
-		if err := s.fences[e.to].Check(duty, Tenant{o.name, e.epoch}); err != nil {
+		if err := s.fences[e.to].Check(duty, Holder{o.name, e.epoch}); err != nil {
 			s.late++
 			continue
 		}
@@ -267,14 +267,14 @@
 		}
 		s.newest[e.to] = e.epoch
 	}
-	if o.tenure.Held(s.own()) && s.rng.IntN(3) == 0 {
-		o.effect = append(o.effect, effect{to: s.rng.IntN(3), epoch: o.tenure.Epoch})
+	if o.tenure.Valid(s.own()) && s.rng.IntN(3) == 0 {
+		o.effect = append(o.effect, effect{to: s.rng.IntN(3), epoch: o.tenure.Token})
 	}
 	if s.step < o.busy || s.rng.IntN(4) > 0 {
 		return
 	}
 	m := s.members[s.rng.IntN(len(s.members))]
-	if m.m == nil || s.step < m.awake || !m.m.Leads() {
+	if m.m == nil || s.step < m.awake || !m.m.IsLeader() {
 		return
 	}
 	o.busy = s.step + 25
@@ -283,7 +283,7 @@
 	switch {
 	case o.held != 0:
 		held := o.held
-		m.m.Renew(duty, held, func(err error) {
+		m.m.RenewLease(duty, held, func(err error) {
 			if lost || o.held != held {
 				return
 			}
@@ -291,20 +291,20 @@
 			if err == nil {
 				s.answered++
 				s.tell("%s renewed %v by member %d, asked at %v", o.name, held, m.id, int(asked))
-				o.tenure.Renewed(asked, held, time.Duration(s.lease), 3)
-			} else if _, no := err.(NotLeader); !no {
+				o.tenure.Renew(asked, held, time.Duration(s.lease), 3)
+			} else if _, no := err.(NotLeaderError); !no {
 				o.held = 0
-				o.tenure.Lost()
+				o.tenure.Reset()
 			}
 		})
 	default:
-		m.m.Propose(Command{Kind: Take, Who: o.name, Duty: duty}, func(r Result, err error) {
-			if err == nil && r.Refused == "" {
-				if was, twice := s.by[r.Duty.Epoch]; twice {
-					s.fail("epoch %v given to %s and to %s", r.Duty.Epoch, was, o.name)
+		m.m.Propose(Command{Kind: AcquireLease, Subject: o.name, Lease: duty}, func(r Result, err error) {
+			if err == nil && r.Rejection == "" {
+				if was, twice := s.by[r.Lease.Token]; twice {
+					s.fail("epoch %v given to %s and to %s", r.Lease.Token, was, o.name)
 				}
-				s.by[r.Duty.Epoch] = o.name
-				s.tell("%s took %v by member %d, asked at %v (lost: %v)", o.name, r.Duty.Epoch, m.id, int(asked), lost)
+				s.by[r.Lease.Token] = o.name
+				s.tell("%s took %v by member %d, asked at %v (lost: %v)", o.name, r.Lease.Token, m.id, int(asked), lost)
 				s.handovers++
 			}
 			if lost {
@@ -313,13 +313,13 @@
 			o.busy = 0
 			switch {
 			case err != nil:
-			case r.Refused == "":
-				o.held = r.Duty.Epoch
-				o.tenure.Renewed(asked, o.held, time.Duration(s.lease), 3)
+			case r.Rejection == "":
+				o.held = r.Lease.Token
+				o.tenure.Renew(asked, o.held, time.Duration(s.lease), 3)
 				s.announce(o)
-			case r.Duty != nil && r.Duty.Owner == o.name:
+			case r.Lease != nil && r.Lease.Holder == o.name:
 				// Its own, from a question whose answer was lost: taken up, but from now.
-				o.held = r.Duty.Epoch
+				o.held = r.Lease.Token
 				s.announce(o)
 			}
 		})
@@ -329,8 +329,8 @@
 		if len(f.newest) == 0 {
 			m.m.Read(func(err error) {
 				if err == nil {
-					if d := m.m.State().Duties[duty]; d != nil {
-						s.fences[k].Hear(duty, Tenant{d.Owner, d.Epoch})
+					if d := m.m.State().Leases[duty]; d != nil {
+						s.fences[k].Observe(duty, Holder{d.Holder, d.Token})
 					}
 				}
 			})
@@ -342,7 +342,7 @@
 func (s *sim) announce(o *simOwner) {
 	for _, f := range s.fences {
 		if s.rng.IntN(3) > 0 && len(f.newest) > 0 {
-			f.Hear(duty, Tenant{o.name, o.held})
+			f.Observe(duty, Holder{o.name, o.held})
 		}
 	}
 }
@@ -367,7 +367,7 @@
 			s.run(25)
 			holders := 0
 			for _, o := range s.owners {
-				if o.tenure.Held(s.own()) {
+				if o.tenure.Valid(s.own()) {
 					holders++
 				}
 			}
@@ -391,30 +391,30 @@
 func TestSealAndRestore(t *testing.T) {
 	s := NewState("x")
 	s.Members[1] = "a"
-	r := s.Apply(Command{Kind: Take, Who: "h1", Duty: duty})
-	if r.Duty == nil || r.Duty.Epoch != 1<<32+1 {
+	r := s.Apply(Command{Kind: AcquireLease, Subject: "h1", Lease: duty})
+	if r.Lease == nil || r.Lease.Token != 1<<32+1 {
 		t.Fatalf("first epoch: %+v", r)
 	}
-	data, err := Seal(s)
+	data, err := EncodeSnapshot(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := Unseal(data)
-	if a, _ := json.Marshal(s); err != nil || string(a) != string(data[8:]) || back.Duties[duty].Owner != "h1" {
+	back, err := DecodeSnapshot(data)
+	if a, _ := json.Marshal(s); err != nil || string(a) != string(data[8:]) || back.Leases[duty].Holder != "h1" {
 		t.Errorf("back: %+v, %v", back, err)
 	}
 	for i := range data {
 		torn := append([]byte(nil), data...)
 		torn[i] ^= 1
-		if _, err := Unseal(torn); err == nil {
+		if _, err := DecodeSnapshot(torn); err == nil {
 			t.Fatalf("byte %d changed and not noticed", i)
 		}
 	}
 	snap := &raftpb.Snapshot{Data: data}
-	if _, err := RestoredDisk(snap, 1, "a", 1); err == nil {
+	if _, err := RestoredState(snap, 1, "a", 1); err == nil {
 		t.Error("restored into the old space")
 	}
-	d, err := RestoredDisk(snap, 1, "a", 2)
+	d, err := RestoredState(snap, 1, "a", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -425,17 +425,17 @@
 	var got Result
 	for range 40 {
 		m.Tick()
-		for out, ok := m.Output(); ok; out, ok = m.Output() {
+		for out, ok := m.Ready(); ok; out, ok = m.Ready() {
 			_ = out
-			if err := m.Stored(); err != nil {
+			if err := m.Advance(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if m.Leads() && got.Duty == nil {
-			m.Propose(Command{Kind: Take, Who: "h2", Duty: duty}, func(r Result, err error) { got = r })
+		if m.IsLeader() && got.Lease == nil {
+			m.Propose(Command{Kind: AcquireLease, Subject: "h2", Lease: duty}, func(r Result, err error) { got = r })
 		}
 	}
-	if got.Duty == nil || got.Duty.Epoch <= r.Duty.Epoch || got.Duty.Epoch.Space() != 2 {
+	if got.Lease == nil || got.Lease.Token <= r.Lease.Token || got.Lease.Token.Space() != 2 {
 		t.Errorf("after the restore: %+v", got)
 	}
 }
@@ -445,41 +445,41 @@
 func TestStateBounds(t *testing.T) {
 	s := NewState("x")
 	took := 0
-	for i := range 3 * Flaps.Changes {
-		if r := s.Apply(Command{Kind: Take, Who: "h1", Duty: duty, Count: uint64(i)}); r.Refused == "" {
+	for i := range 3 * holderChangeLimit.changes {
+		if r := s.Apply(Command{Kind: AcquireLease, Subject: "h1", Lease: duty, LogicalClock: uint64(i)}); r.Rejection == "" {
 			took++
-			s.Apply(Command{Kind: Expire, Duty: duty, Epoch: r.Duty.Epoch})
+			s.Apply(Command{Kind: ExpireLease, Lease: duty, Token: r.Lease.Token})
 		}
 	}
-	if took != Flaps.Changes {
-		t.Errorf("changed hands %d times at once, wanted %d", took, Flaps.Changes)
+	if took != holderChangeLimit.changes {
+		t.Errorf("changed hands %d times at once, wanted %d", took, holderChangeLimit.changes)
 	}
-	if r := s.Apply(Command{Kind: Take, Who: "h1", Duty: duty, Count: Flaps.Within}); r.Refused != "" {
-		t.Errorf("after the time: %s", r.Refused)
+	if r := s.Apply(Command{Kind: AcquireLease, Subject: "h1", Lease: duty, LogicalClock: holderChangeLimit.window}); r.Rejection != "" {
+		t.Errorf("after the time: %s", r.Rejection)
 	}
 	members := []uint64{1, 2, 3}
 	for _, m := range members {
-		if s.Needs(2, members) {
+		if s.AllSupport(2, members) {
 			t.Errorf("version 2 before member %d can apply it", m)
 		}
-		s.Apply(Command{Kind: Can, Member: m, Epoch: 2})
+		s.Apply(Command{Kind: AdvertiseVersion, Member: m, Token: 2})
 	}
-	if !s.Needs(2, members) {
+	if !s.AllSupport(2, members) {
 		t.Error("version 2 is held back though all can apply it")
 	}
-	if s.Apply(Command{Kind: Can, Member: 2, Epoch: 1}); s.Needs(2, members) {
+	if s.Apply(Command{Kind: AdvertiseVersion, Member: 2, Token: 1}); s.AllSupport(2, members) {
 		t.Error("a member that was put back counts as if it could")
 	}
 	before, _ := json.Marshal(s)
-	long := strings.Repeat("x", MostName+1)
+	long := strings.Repeat("x", MaxNameBytes+1)
 	for _, c := range []Command{
-		{Kind: "dance"}, {Kind: Take, Who: "", Duty: duty}, {Kind: Take, Who: long, Duty: duty}, {Kind: Take, Who: "h", Duty: long},
-		{Kind: Take, Who: "h2", Duty: duty}, {Kind: Give, Who: "h2", Duty: duty, Epoch: s.Duties[duty].Epoch}, {Kind: Note, Who: "h1", Duty: duty, Epoch: 1},
-		{Kind: Note, Who: "h1", Duty: duty, Epoch: s.Duties[duty].Epoch, Data: make([]byte, MostNote+1)},
-		{Kind: End, Who: "h1", Duty: duty, ID: "none", Epoch: s.Duties[duty].Epoch}, {Kind: Begin, ID: long, Duty: duty},
-		{Kind: Facts, Who: "h", Data: make([]byte, MostFact+1)}, {Kind: Note, Version: StateVersion + 1},
+		{Kind: "dance"}, {Kind: AcquireLease, Subject: "", Lease: duty}, {Kind: AcquireLease, Subject: long, Lease: duty}, {Kind: AcquireLease, Subject: "h", Lease: long},
+		{Kind: AcquireLease, Subject: "h2", Lease: duty}, {Kind: ReleaseLease, Subject: "h2", Lease: duty, Token: s.Leases[duty].Token}, {Kind: WriteCheckpoint, Subject: "h1", Lease: duty, Token: 1},
+		{Kind: WriteCheckpoint, Subject: "h1", Lease: duty, Token: s.Leases[duty].Token, Data: make([]byte, MaxCheckpointBytes+1)},
+		{Kind: CompleteOperation, Subject: "h1", Lease: duty, OperationID: "none", Token: s.Leases[duty].Token}, {Kind: RequestOperation, OperationID: long, Lease: duty},
+		{Kind: SetHostStatus, Subject: "h", Data: make([]byte, MaxHostStatusBytes+1)}, {Kind: WriteCheckpoint, Version: StateVersion + 1},
 	} {
-		if r := s.Apply(c); r.Refused == "" {
+		if r := s.Apply(c); r.Rejection == "" {
 			t.Errorf("%+v was not refused", c)
 		}
 	}
@@ -491,16 +491,16 @@
 		id string
 		ok bool
 	}{{"a", true}, {"a", true}, {"b", false}} {
-		if r := s.Apply(Command{Kind: Begin, ID: c.id, Duty: duty}); (r.Refused == "") != c.ok {
+		if r := s.Apply(Command{Kind: RequestOperation, OperationID: c.id, Lease: duty}); (r.Rejection == "") != c.ok {
 			t.Errorf("order %s: %+v", c.id, r)
 		}
 	}
-	if len(s.Orders) != 1 {
-		t.Errorf("%d orders, wanted 1", len(s.Orders))
+	if len(s.Operations) != 1 {
+		t.Errorf("%d orders, wanted 1", len(s.Operations))
 	}
 	// What a receiver has heard of is never given out.
-	s.Apply(Command{Kind: Raise, Duty: duty, Epoch: 7<<32 + 9})
-	if r := s.Apply(Command{Kind: Take, Who: "h3", Duty: duty, Count: 5 * Flaps.Within}); r.Refused != "" || r.Duty.Epoch <= 7<<32+9 {
+	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 7<<32 + 9})
+	if r := s.Apply(Command{Kind: AcquireLease, Subject: "h3", Lease: duty, LogicalClock: 5 * holderChangeLimit.window}); r.Rejection != "" || r.Lease.Token <= 7<<32+9 {
 		t.Errorf("after a raise: %+v", r)
 	}
 }
--- a/internal/fleet/relay/council_test.go
+++ b/internal/fleet/relay/council_test.go
@@ -18,9 +18,9 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
-	protocol "otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/council/node"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
 	proxy "otterspring/internal/lab/standin/relay"
 )
 
@@ -33,13 +33,13 @@
 	number, err := strconv.ParseUint(text, 10, 64)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	var file *node.File
+	var file *server.Config
 	if err == nil {
-		file, err = node.LoadFile(path)
+		file, err = server.LoadConfig(path)
 	}
-	var member *node.Node
+	var member *server.Server
 	if err == nil {
-		member, err = node.Open(file, number, node.New, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		member, err = server.Open(file, number, server.Bootstrap, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	}
 	if err == nil {
 		err = member.Run(ctx)
@@ -73,7 +73,7 @@
 	t         testing.TB
 	addresses []string
 	processes []*exec.Cmd
-	client    *ask.Client
+	client    *client.Client
 	created   map[string]bool
 	lastID    int
 }
@@ -94,12 +94,12 @@
 	for i := range councilMembers {
 		c.processes = append(c.processes, startChild(t, fmt.Sprintf("%s.%d.log", path, i+1), fmt.Sprintf("%s=%s %d", memberVariable, path, i+1)))
 	}
-	c.client = ask.NewClient("west", c.addresses)
+	c.client = client.NewClient("west", c.addresses)
 	t.Cleanup(c.client.Close)
 	await(t, "members that say what they can apply", func() bool {
-		able := c.ask(ask.Question{Kind: ask.State}).State.Able
+		able := c.ask(client.Request{Kind: client.ReadState}).State.SupportedVersions
 		for i := range councilMembers {
-			if able[uint64(i+1)] < protocol.StateVersion {
+			if able[uint64(i+1)] < coordination.StateVersion {
 				return false
 			}
 		}
@@ -111,7 +111,7 @@
 func (c *realCouncil) members() []string { return c.addresses }
 
 // ask asks until there is an answer. A question of the same id is applied once.
-func (c *realCouncil) ask(question ask.Question) *ask.Answer {
+func (c *realCouncil) ask(question client.Request) *client.Response {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -120,7 +120,7 @@
 		if err == nil {
 			return answer
 		}
-		if !errors.Is(err, ask.ErrUnknown) || ctx.Err() != nil {
+		if !errors.Is(err, client.ErrUnknownOutcome) || ctx.Err() != nil {
 			c.t.Fatalf("%s: %v", question.Kind, err)
 		}
 	}
@@ -135,8 +135,8 @@
 		if !c.created[service] {
 			change.IfVersion, c.created[service] = new(configuration.Version), true
 		}
-		answer := c.ask(ask.Question{Kind: ask.Configure, Change: change})
-		if answer.Refused != "" || answer.Resource == nil {
+		answer := c.ask(client.Request{Kind: client.ChangeConfiguration, Change: change})
+		if answer.Rejection != "" || answer.Resource == nil {
 			t.Fatalf("change of %s: %+v", service, answer)
 		}
 		version = answer.Resource.Version
@@ -147,7 +147,7 @@
 // leader is the index of the member that leads.
 func (c *realCouncil) leader() int {
 	c.t.Helper()
-	answer := c.ask(ask.Question{Kind: ask.State})
+	answer := c.ask(client.Request{Kind: client.ReadState})
 	return int(answer.Member) - 1
 }
 
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -12,7 +12,7 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/logs"
 )
 
@@ -82,7 +82,7 @@
 // a member does not wait, so that one that stands still is noticed soon.
 func (f *follower) call(ctx context.Context, address string) error {
 	held, _ := f.feed.state()
-	question := ask.Question{Kind: ask.Follow, Version: held}
+	question := client.Request{Kind: client.WatchConfiguration, Version: held}
 	if f.settled {
 		question.WaitMS = int(followWait.Milliseconds())
 	}
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := bootclock.Now()
-	answer, err := ask.Call(ctx, &f.client, address, f.file.Region, question)
+	answer, err := client.Call(ctx, &f.client, address, f.file.Region, question)
 	if err != nil {
 		return err
 	}
@@ -104,16 +104,16 @@
 	return min(callGrace<<rounds, maxCallGrace)
 }
 
-func (f *follower) take(address string, sent time.Duration, answer *ask.Answer) error {
-	region, _, _ := strings.Cut(answer.Council, "#")
+func (f *follower) take(address string, sent time.Duration, answer *client.Response) error {
+	region, _, _ := strings.Cut(answer.Cluster, "#")
 	if region != f.file.Region {
 		return f.foreign(address, region, f.file.Region)
 	}
 	switch {
-	case answer.No != "":
-		return errors.New(answer.No)
-	case answer.Refused != "":
-		return errors.New(answer.Refused)
+	case answer.Unavailable != "":
+		return errors.New(answer.Unavailable)
+	case answer.Rejection != "":
+		return errors.New(answer.Rejection)
 	case answer.Update == nil:
 		return errors.New("found an answer without an update, wanted one")
 	}
@@ -123,18 +123,18 @@
 	if err := f.feed.take(sent, *answer.Update); err != nil {
 		return err
 	}
-	f.council = answer.Council
+	f.council = answer.Cluster
 	return nil
 }
 
 // checkCouncil refuses a second council that was given the same name by mistake. A
 // council that was restored has a new number, too, and versions of a newer space.
-func (f *follower) checkCouncil(address string, answer *ask.Answer) error {
+func (f *follower) checkCouncil(address string, answer *client.Response) error {
 	held, _ := f.feed.state()
-	if f.council == "" || answer.Council == f.council || answer.Update.Version.Space() > held.Space() {
+	if f.council == "" || answer.Cluster == f.council || answer.Update.Version.Space() > held.Space() {
 		return nil
 	}
-	return f.foreign(address, answer.Council, f.council)
+	return f.foreign(address, answer.Cluster, f.council)
 }
 
 func (f *follower) foreign(address, found, wanted string) error {
--- a/internal/fleet/relay/standin_test.go
+++ b/internal/fleet/relay/standin_test.go
@@ -16,7 +16,7 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/logs"
 )
 
@@ -57,7 +57,7 @@
 
 func (s *standIn) serve(w http.ResponseWriter, req *http.Request) {
 	received := bootclock.Now()
-	var question ask.Question
+	var question client.Request
 	if err := json.NewDecoder(req.Body).Decode(&question); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -67,17 +67,17 @@
 	name, leaderless, silent, hold := s.name, s.leaderless, s.silent, s.hold
 	s.mu.Unlock()
 	defer s.set(func(s *standIn) { s.underWay[req.Host]-- })
-	answer := &ask.Answer{Council: name, Member: 1}
+	answer := &client.Response{Cluster: name, Member: 1}
 	region, _, _ := strings.Cut(name, "#")
 	switch {
 	case silent:
 		<-req.Context().Done()
 		return
-	case req.Header.Get(ask.Header) != region:
-		answer.No = fmt.Sprintf("found council %q, wanted %q", req.Header.Get(ask.Header), name)
+	case req.Header.Get(client.ClusterHeader) != region:
+		answer.Unavailable = fmt.Sprintf("found council %q, wanted %q", req.Header.Get(client.ClusterHeader), name)
 		w.WriteHeader(http.StatusConflict)
 	case leaderless:
-		answer.No = "found no leader, wanted one"
+		answer.Unavailable = "found no leader, wanted one"
 	default:
 		answer.Update = s.wait(req.Context(), question)
 	}
@@ -90,7 +90,7 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-func (s *standIn) wait(ctx context.Context, question ask.Question) *configuration.Update {
+func (s *standIn) wait(ctx context.Context, question client.Request) *configuration.Update {
 	end := time.After(time.Duration(question.WaitMS) * time.Millisecond)
 	for over := question.WaitMS == 0; ; {
 		s.mu.Lock()
--- a/internal/fleet/supervisor/everywhere.go
+++ b/internal/fleet/supervisor/everywhere.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/everywhere"
 	"otterspring/internal/fleet/plan"
 	"otterspring/internal/inject"
@@ -25,7 +25,7 @@
 // it refuses what an owner of before wants. Without an answer of the council it
 // supervises as ever.
 
-// Duty is the one whose owner rolls through all hosts.
+// Lease is the one whose owner rolls through all hosts.
 const Duty = "roll"
 
 const (
@@ -40,14 +40,14 @@
 
 // effect is what an owner wants of a supervisor.
 type effect struct {
-	Duty     string        `json:"duty"`
-	Owner    string        `json:"owner"`
-	Epoch    council.Epoch `json:"epoch"`
-	Do       string        `json:"do"` // look, restart, reload or list
-	Instance string        `json:"instance,omitempty"`
-	Order    string        `json:"order,omitempty"`
-	Program  string        `json:"program,omitempty"`
-	List     *listPush     `json:"list,omitempty"`
+	Duty     string                    `json:"duty"`
+	Owner    string                    `json:"owner"`
+	Epoch    coordination.FencingToken `json:"epoch"`
+	Do       string                    `json:"do"` // look, restart, reload or list
+	Instance string                    `json:"instance,omitempty"`
+	Order    string                    `json:"order,omitempty"`
+	Program  string                    `json:"program,omitempty"`
+	List     *listPush                 `json:"list,omitempty"`
 }
 
 // told is its answer.
@@ -76,9 +76,9 @@
 	if err != nil {
 		return fmt.Errorf("council.listen: %w", err)
 	}
-	s.client = ask.NewClient(c.Name, c.Members)
+	s.client = client.NewClient(c.Name, c.Members)
 	server := &http.Server{Handler: http.HandlerFunc(s.takeEffect), ReadTimeout: effectFor, WriteTimeout: effectFor + time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 4 << 10}
-	s.wg.Go(func() { server.Serve(ask.Bounded(ln, mostEffects)) })
+	s.wg.Go(func() { server.Serve(client.LimitListener(ln, mostEffects)) })
 	s.wg.Go(func() { <-ctx.Done(); server.Close(); s.client.Close() })
 	if err := s.startListProxy(ctx); err != nil {
 		return err
@@ -93,9 +93,9 @@
 	known, seen := false, uint64(0)
 	me := fmt.Sprintf("%s.%04x", s.file.Council.Host, rand.Uint32()&0xffff)
 	for ctx.Err() == nil {
-		q := ask.Question{Kind: ask.Hear, WaitMS: int(hearFor.Milliseconds()), Seen: seen}
+		q := client.Request{Kind: client.WatchLeases, WaitMS: int(hearFor.Milliseconds()), SeenIndex: seen}
 		if !known {
-			q = ask.Question{Kind: ask.State}
+			q = client.Request{Kind: client.ReadState}
 		}
 		a, err := s.asks(ctx, q, hearFor+effectFor)
 		if err != nil {
@@ -108,16 +108,16 @@
 		}
 		first := !known // read by the goroutine of Run, while this one goes on
 		s.send(ctx, func(time.Duration) []plan.Action {
-			for duty, t := range a.Duties {
+			for duty, t := range a.Holders {
 				before := s.fence.Newest(duty)
-				s.fence.Hear(duty, t)
+				s.fence.Observe(duty, t)
 				s.heardOf(duty, before)
 			}
 			if first {
 				// A majority knows of no owner: any is newer than nobody.
-				s.fence.Hear(Duty, council.Tenant{})
+				s.fence.Observe(Duty, coordination.Holder{})
 				if s.listProxy != nil {
-					s.fence.Hear(s.listProxy.duty, council.Tenant{})
+					s.fence.Observe(s.listProxy.duty, coordination.Holder{})
 				}
 			}
 			return nil
@@ -127,11 +127,11 @@
 			continue
 		}
 		vacant := false
-		if s.listProxy != nil && a.Duties[s.listProxy.duty].Owner == "" {
+		if s.listProxy != nil && a.Holders[s.listProxy.duty].Name == "" {
 			vacant = true
 			s.listProxy.tryToOwn(ctx, me)
 		}
-		if a.Open[Duty] && a.Duties[Duty].Owner == "" {
+		if a.PendingOperations[Duty] && a.Holders[Duty].Name == "" {
 			vacant = true
 			if s.owning.CompareAndSwap(false, true) {
 				s.wg.Go(func() { defer s.owning.Store(false); s.tryToOwn(ctx, me) })
@@ -151,7 +151,7 @@
 	}
 }
 
-func (s *Supervisor) asks(ctx context.Context, q ask.Question, within time.Duration) (*ask.Answer, error) {
+func (s *Supervisor) asks(ctx context.Context, q client.Request, within time.Duration) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	return s.client.Do(ctx, q)
@@ -160,9 +160,9 @@
 // tellFacts tells the council of this host.
 func (s *Supervisor) tellFacts(ctx context.Context) bool {
 	text, _ := json.Marshal(fact{s.file.Council.Zone, s.file.Council.Listen, len(s.specs), s.file.Program})
-	a, err := s.asks(ctx, ask.Question{Kind: council.Facts, Who: s.file.Council.Host, Data: text}, effectFor)
-	if err == nil && a.Refused != "" {
-		err = errors.New(a.Refused)
+	a, err := s.asks(ctx, client.Request{Kind: client.SetHostStatus, Subject: s.file.Council.Host, Data: text}, effectFor)
+	if err == nil && a.Rejection != "" {
+		err = errors.New(a.Rejection)
 	}
 	if err != nil {
 		s.log.Warn(fmt.Sprintf("council: facts of %s: %v", s.file.Council.Host, err), logs.Cause("facts"))
@@ -196,23 +196,23 @@
 		if ctx.Err() != nil || !o.held() {
 			return "the tenure is over"
 		}
-		a, err := o.s.asks(ctx, ask.Question{Kind: ask.State}, effectFor)
+		a, err := o.s.asks(ctx, client.Request{Kind: client.ReadState}, effectFor)
 		if err != nil {
 			continue // the tenure ends by itself where that lasts
 		}
-		open := a.State.Open(Duty)
+		open := a.State.PendingOperation(Duty)
 		if open == nil {
 			return "no order is left"
 		}
 		var order everywhere.Order
-		if err := json.Unmarshal(open.Words, &order); err != nil {
-			o.end(ctx, open.ID, fmt.Sprintf("found no order in %.100s: %v", open.Words, err))
+		if err := json.Unmarshal(open.Request, &order); err != nil {
+			o.end(ctx, open.ID, fmt.Sprintf("found no order in %.100s: %v", open.Request, err))
 			continue
 		}
-		if d := a.State.Duties[Duty]; first && d != nil && d.Note != nil {
-			json.Unmarshal(d.Note, &o.note)
+		if d := a.State.Leases[Duty]; first && d != nil && d.Checkpoint != nil {
+			json.Unmarshal(d.Checkpoint, &o.note)
 		}
-		hosts := o.look(a.State.Facts)
+		hosts := o.look(a.State.HostStatus)
 		if o.note.Order != open.ID {
 			// What runs now is what to go back to: it is written down before anything begins,
 			// for each order anew, and of every host.
@@ -247,7 +247,7 @@
 			o.end(ctx, open.ID, d.End)
 			continue
 		}
-		o.act(ctx, d.Steps, a.State.Facts)
+		o.act(ctx, d.Steps, a.State.HostStatus)
 	}
 }
 
@@ -258,14 +258,14 @@
 		return true
 	}
 	text, _ := json.Marshal(o.note)
-	a, err := o.s.asks(ctx, ask.Question{Kind: council.Note, Duty: Duty, Who: o.me, Epoch: o.epoch, Data: text}, effectFor)
+	a, err := o.s.asks(ctx, client.Request{Kind: client.WriteCheckpoint, Lease: Duty, Subject: o.me, Token: o.epoch, Data: text}, effectFor)
 	o.noted = time.Now()
-	return err == nil && a.Refused == ""
+	return err == nil && a.Rejection == ""
 }
 
 func (o *owner) end(ctx context.Context, id, how string) {
 	text, _ := json.Marshal(how)
-	o.s.asks(ctx, ask.Question{Kind: council.End, Duty: Duty, Who: o.me, Epoch: o.epoch, ID: id, Data: text}, effectFor)
+	o.s.asks(ctx, client.Request{Kind: client.CompleteOperation, Lease: Duty, Subject: o.me, Token: o.epoch, OperationID: id, Data: text}, effectFor)
 }
 
 // look asks all hosts how they are. By it each hears of this epoch.
@@ -352,10 +352,10 @@
 func (s *Supervisor) effect(now time.Duration, e effect) (told, []plan.Action) {
 	refused := func(err error) (told, []plan.Action) {
 		s.say("refused: %s of epoch %v of %s: %v", e.Do, e.Epoch, e.Owner, err)
-		return told{Refused: err.Error(), Late: s.fence.Refused}, nil
+		return told{Refused: err.Error(), Late: s.fence.Rejected}, nil
 	}
 	before := s.fence.Newest(e.Duty)
-	if err := s.fence.Check(e.Duty, council.Tenant{Owner: e.Owner, Epoch: e.Epoch}); err != nil {
+	if err := s.fence.Check(e.Duty, coordination.Holder{Name: e.Owner, Token: e.Epoch}); err != nil {
 		return refused(err)
 	}
 	s.heardOf(e.Duty, before)
@@ -367,7 +367,7 @@
 		if err != nil {
 			return refused(err)
 		}
-		return told{Index: index, Late: s.fence.Refused}, nil
+		return told{Index: index, Late: s.fence.Rejected}, nil
 	case "restart", "reload":
 		which, err := s.named([]string{e.Instance})
 		if err != nil {
@@ -392,17 +392,17 @@
 	default:
 		return refused(fmt.Errorf("found %q, wanted look, restart, reload or list", e.Do))
 	}
-	return told{Host: s.host(), Late: s.fence.Refused}, acts
+	return told{Host: s.host(), Late: s.fence.Rejected}, acts
 }
 
 // heardOf says that a newer owner than before is known, in whatever way: from here on
 // nothing of an older one is taken.
-func (s *Supervisor) heardOf(duty string, before council.Tenant) {
+func (s *Supervisor) heardOf(duty string, before coordination.Holder) {
 	if duty != Duty && (s.listProxy == nil || duty != s.listProxy.duty) {
 		return // no effect of it comes here
 	}
-	if now := s.fence.Newest(duty); now.Epoch > before.Epoch && now.Owner != "" {
-		s.say("hears of %s: %s owns it, epoch %v", duty, now.Owner, now.Epoch)
+	if now := s.fence.Newest(duty); now.Token > before.Token && now.Name != "" {
+		s.say("hears of %s: %s owns it, epoch %v", duty, now.Name, now.Token)
 	}
 }
 
@@ -444,9 +444,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	c := ask.NewClient(s.file.Council.Name, s.file.Council.Members)
+	c := client.NewClient(s.file.Council.Name, s.file.Council.Members)
 	defer c.Close()
-	if _, err := c.Do(ctx, ask.Question{Kind: council.Facts, Who: s.file.Council.Host}); err != nil {
+	if _, err := c.Do(ctx, client.Request{Kind: client.SetHostStatus, Subject: s.file.Council.Host}); err != nil {
 		s.log.Warn(fmt.Sprintf("council: it does not know that %s has ended (%v): otterspring council forget", s.file.Council.Host, err))
 	}
 }
--- a/internal/fleet/supervisor/list.go
+++ b/internal/fleet/supervisor/list.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/duty/list"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
@@ -108,7 +108,7 @@
 	}
 	s.listProxy = p
 	server := &http.Server{Handler: p, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 4 << 10}
-	s.wg.Go(func() { server.Serve(ask.Bounded(ln, maxProxyConnections)) })
+	s.wg.Go(func() { server.Serve(client.LimitListener(ln, maxProxyConnections)) })
 	s.wg.Go(func() { <-ctx.Done(); server.Close() })
 	s.wg.Go(func() { p.watchDiscovery(ctx) })
 	return nil
@@ -352,12 +352,12 @@
 // watchHosts asks the council which hosts the zone has, until ctx ends.
 func (p *listProxy) watchHosts(ctx context.Context, addresses *sync.Map, hosts chan<- []string) {
 	for ; ctx.Err() == nil; pause(ctx, listHostsInterval) {
-		a, err := p.supervisor.asks(ctx, ask.Question{Kind: ask.State}, effectFor)
+		a, err := p.supervisor.asks(ctx, client.Request{Kind: client.ReadState}, effectFor)
 		if err != nil || a.State == nil {
 			continue
 		}
 		var names []string
-		for name, text := range a.State.Facts {
+		for name, text := range a.State.HostStatus {
 			var f fact
 			if json.Unmarshal(text, &f) == nil && listDuty(f.Zone) == p.duty && f.Address != "" {
 				names = append(names, name)
--- a/internal/fleet/supervisor/reign.go
+++ b/internal/fleet/supervisor/reign.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 // reign is this process while it owns a duty: its tenure, which it keeps, and its
@@ -19,23 +19,23 @@
 	s             *Supervisor
 	ctx           context.Context // of the supervisor: what was begun is not called back when the tenure ends
 	duty, me      string
-	epoch         council.Epoch
+	epoch         coordination.FencingToken
 	lease, margin time.Duration
 
 	mu     sync.Mutex
-	tenure council.Tenure
+	tenure coordination.Leadership
 }
 
 // reign asks for a duty; nil where it is not given.
 func (s *Supervisor) reign(ctx context.Context, duty, me string) *reign {
 	pause(ctx, time.Duration(rand.Int64N(int64(200*time.Millisecond)))) // not all hosts at once
 	asked := bootclock.Now()
-	a, err := s.asks(ctx, ask.Question{Kind: council.Take, Duty: duty, Who: me}, effectFor)
-	if err != nil || a.Duty == nil || a.Duty.Owner != me {
+	a, err := s.asks(ctx, client.Request{Kind: client.AcquireLease, Lease: duty, Subject: me}, effectFor)
+	if err != nil || a.Lease == nil || a.Lease.Holder != me {
 		return nil
 	}
-	r := &reign{s: s, ctx: ctx, duty: duty, me: me, epoch: a.Duty.Epoch, lease: a.Lease(), margin: a.Margin()}
-	r.tenure.Renewed(asked, r.epoch, r.lease, r.margin)
+	r := &reign{s: s, ctx: ctx, duty: duty, me: me, epoch: a.Lease.Token, lease: a.LeaseDuration(), margin: a.SafetyMargin()}
+	r.tenure.Renew(asked, r.epoch, r.lease, r.margin)
 	return r
 }
 
@@ -49,8 +49,8 @@
 	why := do(own)
 	end()
 	wg.Wait()
-	r.s.log.Info(fmt.Sprintf("council: %s ends epoch %v of %s: %s (over for %v)", r.me, r.epoch, r.duty, why, r.tenure.Over(bootclock.Now()).Round(time.Millisecond)))
-	r.s.asks(ctx, ask.Question{Kind: council.Give, Duty: r.duty, Who: r.me, Epoch: r.epoch}, effectFor)
+	r.s.log.Info(fmt.Sprintf("council: %s ends epoch %v of %s: %s (over for %v)", r.me, r.epoch, r.duty, why, r.tenure.ExpiredFor(bootclock.Now()).Round(time.Millisecond)))
+	r.s.asks(ctx, client.Request{Kind: client.ReleaseLease, Lease: r.duty, Subject: r.me, Token: r.epoch}, effectFor)
 }
 
 // held tells whether an effect may be begun. It may have ended by the time at which
@@ -58,7 +58,7 @@
 func (r *reign) held() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tenure.Held(bootclock.Now())
+	return r.tenure.Valid(bootclock.Now())
 }
 
 // renew keeps the tenure until it is refused or over.
@@ -69,13 +69,13 @@
 			return
 		}
 		asked := bootclock.Now()
-		a, err := r.s.asks(ctx, ask.Question{Kind: ask.Renew, Duty: r.duty, Epoch: r.epoch}, r.lease/2)
-		if err == nil && a.Refused != "" {
+		a, err := r.s.asks(ctx, client.Request{Kind: client.RenewLease, Lease: r.duty, Token: r.epoch}, r.lease/2)
+		if err == nil && a.Rejection != "" {
 			return
 		}
 		if err == nil {
 			r.mu.Lock()
-			r.tenure.Renewed(asked, r.epoch, r.lease, r.margin)
+			r.tenure.Renew(asked, r.epoch, r.lease, r.margin)
 			r.mu.Unlock()
 		}
 	}
@@ -94,5 +94,5 @@
 	ctx, cancel := context.WithTimeout(r.ctx, effectFor)
 	defer cancel()
 	t := &told{}
-	return t, ask.Post(ctx, &effectClient, address, effectPath, "", e, t)
+	return t, client.Endpoint{HTTP: &effectClient, Address: address, Path: effectPath}.PostJSON(ctx, e, t)
 }
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -23,8 +23,8 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/plan"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
@@ -49,13 +49,13 @@
 	wg        sync.WaitGroup
 	ctx       context.Context // ends with Run: what waits for a process does, too
 	end       context.CancelFunc
-	said      []string       // the latest words, for status
-	client    *ask.Client    // of the council; nil where there is none
-	fence     *council.Fence // of owners
-	listProxy *listProxy     // nil where the list is not relayed
-	owning    atomic.Bool    // the roll, or asks for it
-	orders    map[int]string // the council's order that each instance was started for last
-	failed    map[int]string // and the one of which its new process did not become ready
+	said      []string            // the latest words, for status
+	client    *client.Client      // of the council; nil where there is none
+	fence     *coordination.Fence // of owners
+	listProxy *listProxy          // nil where the list is not relayed
+	owning    atomic.Bool         // the roll, or asks for it
+	orders    map[int]string      // the council's order that each instance was started for last
+	failed    map[int]string      // and the one of which its new process did not become ready
 	log       *slog.Logger
 }
 
@@ -94,7 +94,7 @@
 	s := &Supervisor{
 		file: f, specs: specs, program: f.Program, origin: time.Now(),
 		events: make(chan func(time.Duration) []plan.Action), log: log,
-		fence: council.NewFence(), orders: map[int]string{}, failed: map[int]string{},
+		fence: coordination.NewFence(), orders: map[int]string{}, failed: map[int]string{},
 	}
 	s.ctx, s.end = context.WithCancel(context.Background())
 	for range specs {
--- a/internal/lab/rig/council.go
+++ b/internal/lab/rig/council.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
@@ -355,9 +355,9 @@
 func (h *hosts) leader() string {
 	for _, m := range h.owned.members {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		a, err := ask.Call(ctx, &quickClient, h.owned.address[m.role], "world", ask.Question{Kind: ask.Hear})
+		a, err := client.Call(ctx, &quickClient, h.owned.address[m.role], "world", client.Request{Kind: client.WatchLeases})
 		cancel()
-		if err == nil && a.Leads {
+		if err == nil && a.IsLeader {
 			return m.role
 		}
 	}
--- a/internal/lab/rig/probe.go
+++ b/internal/lab/rig/probe.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/history"
 )
@@ -76,16 +76,16 @@
 
 // ask asks one member once; nil and no error where it could not answer, so that
 // nothing has taken effect.
-func (p *prober) ask(q ask.Question) (*ask.Answer, error) {
+func (p *prober) ask(q client.Request) (*client.Response, error) {
 	members := p.h.owned.members
 	ctx, cancel := context.WithTimeout(context.Background(), probeWithin)
 	defer cancel()
-	a, err := ask.Call(ctx, &askClient, p.h.owned.address[members[p.to].role], "world", q)
+	a, err := client.Call(ctx, &askClient, p.h.owned.address[members[p.to].role], "world", q)
 	if err != nil {
 		p.to = (p.to + 1) % len(members)
 		return nil, err
 	}
-	if a.No == "" {
+	if a.Unavailable == "" {
 		return a, nil
 	}
 	p.to = (p.to + 1) % len(members)
@@ -94,8 +94,8 @@
 			p.to = i
 		}
 	}
-	if a.Unknown {
-		return nil, ask.ErrUnknown
+	if a.OutcomeUnknown {
+		return nil, client.ErrUnknownOutcome
 	}
 	return nil, nil
 }
@@ -112,36 +112,36 @@
 
 // write owns the register's duty where nobody does, and writes.
 func (p *prober) write() {
-	key, epoch := "", council.Epoch(0)
+	key, epoch := "", coordination.FencingToken(0)
 	for p.pause() {
 		if now := p.register(); now != key {
 			key, epoch = now, 0
 		}
 		if epoch == 0 {
-			if a, _ := p.ask(ask.Question{Kind: council.Take, Duty: key, Who: p.name}); a != nil && a.Duty != nil && a.Duty.Owner == p.name {
-				epoch = a.Duty.Epoch
+			if a, _ := p.ask(client.Request{Kind: client.AcquireLease, Lease: key, Subject: p.name}); a != nil && a.Lease != nil && a.Lease.Holder == p.name {
+				epoch = a.Lease.Token
 			}
 			continue
 		}
 		if p.rng.IntN(4) == 0 {
-			p.ask(ask.Question{Kind: ask.Renew, Duty: key, Epoch: epoch})
+			p.ask(client.Request{Kind: client.RenewLease, Lease: key, Token: epoch})
 			continue
 		}
 		p.value++
 		value := fmt.Sprintf("%s-%d", p.name, p.value)
 		text, _ := json.Marshal(value)
 		begin := p.h.w.Log.Now()
-		switch a, err := p.ask(ask.Question{Kind: council.Note, Duty: key, Who: p.name, Epoch: epoch, Data: text}); {
+		switch a, err := p.ask(client.Request{Kind: client.WriteCheckpoint, Lease: key, Subject: p.name, Token: epoch, Data: text}); {
 		case err != nil:
 			p.note(begin, "write", key, value, history.Unknown)
 		case a == nil: // nobody took it
-		case a.Refused != "":
+		case a.Rejection != "":
 			p.note(begin, "write", key, value, history.Refused)
 			epoch = 0
 		default:
 			p.note(begin, "write", key, value, history.Done)
 			if p.rng.IntN(12) == 0 { // somebody else's turn
-				p.ask(ask.Question{Kind: council.Give, Duty: key, Who: p.name, Epoch: epoch})
+				p.ask(client.Request{Kind: client.ReleaseLease, Lease: key, Subject: p.name, Token: epoch})
 				epoch = 0
 			}
 		}
@@ -152,13 +152,13 @@
 func (p *prober) read() {
 	for p.pause() {
 		key, begin := p.register(), p.h.w.Log.Now()
-		a, err := p.ask(ask.Question{Kind: ask.State})
+		a, err := p.ask(client.Request{Kind: client.ReadState})
 		if err != nil || a == nil || a.State == nil {
 			continue
 		}
 		value := ""
-		if d := a.State.Duties[key]; d != nil && d.Note != nil {
-			json.Unmarshal(d.Note, &value)
+		if d := a.State.Leases[key]; d != nil && d.Checkpoint != nil {
+			json.Unmarshal(d.Checkpoint, &value)
 		}
 		p.note(begin, "read", key, value, history.Done)
 	}
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/standin/relay"
 )
@@ -222,9 +222,9 @@
 	for began := time.Now(); time.Since(began) < startWithin; {
 		for _, m := range c.members {
 			asking, cancel := context.WithTimeout(ctx, askWithin)
-			answer, err := ask.Call(asking, &c.http, m.address, Region, ask.Question{Kind: ask.Hear})
+			answer, err := client.Call(asking, &c.http, m.address, Region, client.Request{Kind: client.WatchLeases})
 			cancel()
-			if err == nil && answer.Leads {
+			if err == nil && answer.IsLeader {
 				return m, nil
 			}
 		}
