--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 const (
@@ -30,7 +30,7 @@
 // load makes changes of configuration through the council, each until its outcome is
 // known, and holds what the council has at the end against what it accepted.
 type load struct {
-	client   *ask.Client
+	client   *client.Client
 	services []string
 	size     int // of settings, in bytes
 	watch    *watchdog
@@ -52,7 +52,7 @@
 func newLoad(o *Options, t *Topology, addresses []string, watch *watchdog) *load {
 	n := len(t.Services)
 	return &load{
-		client: ask.NewClient(Region, addresses), services: t.Services, size: o.SettingsBytes, watch: watch,
+		client: client.NewClient(Region, addresses), services: t.Services, size: o.SettingsBytes, watch: watch,
 		rng: rand.New(rand.NewPCG(o.Seed, 0x6c6f6164)), busy: make([]bool, n), newest: make([]configuration.Version, n), settings: make([][]byte, n),
 	}
 }
@@ -88,12 +88,12 @@
 	last := ""
 	for began := Now(); Now() < began+startWithin && ctx.Err() == nil; {
 		answer, err := l.ask(ctx, change)
-		if err == nil && answer.Refused == "" && answer.Resource != nil {
+		if err == nil && answer.Rejection == "" && answer.Resource != nil {
 			l.answered(0, change, answer, false, Now())
 			return nil
 		}
 		if err == nil {
-			last = answer.Refused
+			last = answer.Rejection
 		}
 		time.Sleep(repeatAfter)
 	}
@@ -108,10 +108,10 @@
 }
 
 // ask asks for a change once.
-func (l *load) ask(ctx context.Context, change *configuration.Change) (*ask.Answer, error) {
+func (l *load) ask(ctx context.Context, change *configuration.Change) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeWithin)
 	defer cancel()
-	return l.client.Do(ctx, ask.Question{Kind: ask.Configure, Change: change})
+	return l.client.Do(ctx, client.Request{Kind: client.ChangeConfiguration, Change: change})
 }
 
 // firstError is the first of several that is one.
@@ -213,9 +213,9 @@
 }
 
 // answered takes the council's answer to a change.
-func (l *load) answered(service int, change *configuration.Change, answer *ask.Answer, older bool, began time.Duration) {
+func (l *load) answered(service int, change *configuration.Change, answer *client.Response, older bool, began time.Duration) {
 	now := Now()
-	refused := answer.Refused != "" || answer.Resource == nil
+	refused := answer.Rejection != "" || answer.Resource == nil
 	switch {
 	case refused && older && answer.Conflict:
 		l.mu.Lock()
@@ -223,7 +223,7 @@
 		l.mu.Unlock()
 		return
 	case refused:
-		l.fail(fmt.Errorf("%s of %s: found it refused (%s), wanted it accepted", change.ID, change.Service, answer.Refused))
+		l.fail(fmt.Errorf("%s of %s: found it refused (%s), wanted it accepted", change.ID, change.Service, answer.Rejection))
 		return
 	}
 	l.mu.Lock()
@@ -281,7 +281,7 @@
 	all := make([]configuration.Resource, len(l.services))
 	for i, service := range l.services {
 		asking, cancel := context.WithTimeout(ctx, changeWithin)
-		answer, err := l.client.Do(asking, ask.Question{Kind: ask.Resource, Service: service})
+		answer, err := l.client.Do(asking, client.Request{Kind: client.ReadConfiguration, Service: service})
 		cancel()
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", service, err)
