--- /dev/null
+++ b/internal/discovery/forms_test.go
@@ -0,0 +1,131 @@
+package discovery
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/internal/engine"
+)
+
+var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
+
+// compareWithFile fails the test where got is not what the file in testdata holds.
+func compareWithFile(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGuards {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: found\n%s\nwanted\n%s", path, got, want)
+	}
+}
+
+// describe is a list by the names of discovery's form.
+func describe(l engine.List) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "index=%d snapshot=%t\n", l.Index, l.Full)
+	for _, n := range l.Entries {
+		fmt.Fprintf(&text, "name=%s address=%s zone=%s group=%d status=%d since_ms=%d\n", n.ID, n.Addr, n.Zone, n.Cell, n.State, n.Since)
+	}
+	return text.String()
+}
+
+// Each form of a list is read as it was recorded, and each key of it is read: with the
+// key renamed something else comes of it.
+func TestFormsOfLists(t *testing.T) {
+	for _, name := range []string{"snapshot", "delta", "relayed"} {
+		t.Run(name, func(t *testing.T) {
+			text, err := os.ReadFile(filepath.Join("testdata", name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			l, err := ParseText(text, "coap://")
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareWithFile(t, name+".txt", describe(l))
+			compareWithFile(t, name+".written.json", string(Text(l)))
+			for _, key := range []string{"index", "snapshot", "endpoints", "name", "address", "zone", "group", "status", "since_ms"} {
+				renamed := bytes.ReplaceAll(text, []byte(`"`+key+`":`), []byte(`"`+key+`x":`))
+				if bytes.Equal(renamed, text) {
+					t.Errorf("the form has no %s", key)
+				}
+				if r, err := ParseText(renamed, "coap://"); err == nil && describe(r) == describe(l) {
+					t.Errorf("%s is not read", key)
+				}
+			}
+		})
+	}
+}
+
+// listenRaw serves one connection.
+func listenRaw(t *testing.T, serve func(net.Conn)) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		t.Cleanup(func() { c.Close() })
+		serve(c)
+	}()
+	return ln.Addr().String()
+}
+
+// readHead reads a request's head as it is.
+func readHead(c net.Conn) string {
+	var head []byte
+	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
+		b := make([]byte, 1)
+		if _, err := c.Read(b); err != nil {
+			return string(head) + err.Error()
+		}
+		head = append(head, b[0])
+	}
+	return string(head)
+}
+
+// What is written to discovery and to a local proxy, byte for byte.
+func TestRequestsAreTheRecordedOnes(t *testing.T) {
+	var text strings.Builder
+	for _, call := range []struct {
+		index int64
+		watch time.Duration
+	}{{none, watchFor}, {0, watchFor}, {41, watchFor}, {41, watchPushed}, {41, proxyWatchTimeout}} {
+		list := `{"index":41,"snapshot":true,"endpoints":[]}`
+		requests := make(chan string, 1)
+		addr := listenRaw(t, func(c net.Conn) {
+			requests <- readHead(c)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-List-Source: delft\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+		})
+		f := New(addr, false, 0)
+		f.index = call.index
+		_, source, err := f.call(t.Context(), addr, call.watch, answerWithin)
+		f.hangUp()
+		if err != nil {
+			t.Fatal(err)
+		}
+		text.WriteString(strings.ReplaceAll(<-requests, addr, "ADDRESS"))
+		fmt.Fprintf(&text, "source=%s\n", source)
+	}
+	compareWithFile(t, "requests.txt", strings.ReplaceAll(text.String(), "\r\n", "<CRLF>\n"))
+}
--- /dev/null
+++ b/internal/engine/trace_test.go
@@ -0,0 +1,103 @@
+package engine
+
+import (
+	"cmp"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/balance"
+)
+
+var updateGuards = flag.Bool("update-guards", false, "write the recorded decisions anew instead of comparing them")
+
+// recordedUpstream records that it was retired.
+type recordedUpstream struct {
+	idleUpstream
+	name    string
+	retired *[]string
+}
+
+func (u recordedUpstream) Retire() { *u.retired = append(*u.retired, u.name) }
+
+// What seeded random lists do to the upstreams, and the list that is held after each,
+// are the recorded ones.
+func TestListsDoWhatWasRecorded(t *testing.T) {
+	var trace strings.Builder
+	for seed := range uint64(10) {
+		traceLists(t, &trace, rand.New(rand.NewPCG(seed, 0)))
+	}
+	path := filepath.Join("testdata", "lists.txt")
+	if *updateGuards {
+		if err := os.WriteFile(path, []byte(trace.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, wanted := strings.Split(trace.String(), "\n"), strings.Split(string(want), "\n")
+	if len(got) != len(wanted) {
+		t.Fatalf("found %d steps, wanted %d", len(got), len(wanted))
+	}
+	for i := range got {
+		if got[i] != wanted[i] {
+			t.Fatalf("step %d: found %s, wanted %s", i, got[i], wanted[i])
+		}
+	}
+}
+
+func traceLists(t *testing.T, trace *strings.Builder, rng *rand.Rand) {
+	t.Helper()
+	var opened, retired []string
+	e, err := New(Settings{
+		Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
+		Open: func(addr string, since int64) Upstream {
+			name := fmt.Sprintf("%s/%d", addr, since)
+			opened = append(opened, name)
+			return recordedUpstream{name: name, retired: &retired}
+		},
+	}, func() {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	index, moves := int64(0), 0
+	for range 40 {
+		if rng.IntN(12) == 0 {
+			moves++
+			index = int64(rng.IntN(4))
+		}
+		index += int64(rng.IntN(3))
+		l := List{Index: index, Full: rng.IntN(3) == 0}
+		kind := balance.ListChange
+		if l.Full {
+			kind = balance.ListFull
+		}
+		if rng.IntN(10) == 0 {
+			kind, l = balance.ListFailed, List{}
+		}
+		for i := range rng.IntN(5) {
+			l.Entries = append(l.Entries, Entry{
+				Server: balance.Server{ID: fmt.Sprint("s", (i*2+rng.IntN(2))%7), State: []balance.ServerState{balance.Ready, balance.Ready, balance.Draining, balance.Gone}[rng.IntN(4)]},
+				Addr:   fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2)), Since: int64(rng.IntN(3)),
+			})
+		}
+		opened, retired = nil, nil
+		e.Members(kind, l, moves)
+		held := e.List()
+		slices.SortFunc(held.Entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+		slices.Sort(retired)
+		fmt.Fprintf(trace, "%d moves %d: opened %v retired %v; version %d:", kind, moves, opened, retired, held.Index)
+		for _, n := range held.Entries {
+			fmt.Fprintf(trace, " %s %s %d state %d", n.ID, n.Addr, n.Since, n.State)
+		}
+		trace.WriteString("\n")
+	}
+}
--- /dev/null
+++ b/internal/sidecar/forms_test.go
@@ -0,0 +1,165 @@
+package sidecar
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/balance"
+	"otterspring/internal/operator"
+)
+
+var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
+
+// compareWithFile fails the test where got is not what the file in testdata holds.
+func compareWithFile(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGuards {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: found\n%s\nwanted\n%s", path, got, want)
+	}
+}
+
+// describe is a configuration by the names of the operators' pages.
+func describe(c *Config) string {
+	var text strings.Builder
+	line := func(key string, value any) { fmt.Fprintf(&text, "%s=%v\n", key, value) }
+	line("name", c.Name)
+	line("listen", c.Listen)
+	line("discovery", c.Discovery)
+	line("seed", c.Seed)
+	line("limits.cores", c.Cores)
+	line("limits.memory_mb", c.Memory>>20)
+	line("limits.sockets", c.Sockets)
+	line("known.index", c.Known.Index)
+	line("known.snapshot", c.Known.Full)
+	for _, n := range c.Known.Entries {
+		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Addr, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.Since))
+	}
+	s := &c.Settings
+	line("settings.over-share-worth", s.OverShare)
+	line("settings.extra.warm-keys", s.WarmKeys)
+	line("settings.discovery is subscribe", s.Subscribe)
+	line("settings.round-us", s.Round)
+	line("settings.limits.conn-idle-us", fmt.Sprint(s.IdleFor, " ", c.Conns.Idle))
+	line("settings.limits.dial-timeout-us", c.Conns.Dial)
+	line("settings.limits.try-limit", s.MaxAttempts)
+	line("settings.limits.cancel", s.CanCancel)
+	line("settings.limits.second-copies", s.CanCopy)
+	line("settings.limits.retry-after", s.RetryAfter)
+	line("settings.rules.cold-from", s.ColdShare)
+	line("settings.rules.cold-us", s.ColdTime)
+	line("settings.rules.tip-multiple", s.TipMultiple)
+	for _, class := range s.Classes {
+		line("settings.classes", fmt.Sprint(class.Name, " ", class.Aim, " ", class.AimStretch, " ", class.Deadline, " ", class.Worth, " ", class.LateWorth,
+			" ", int(class.Effect), " ", int(class.Group), " ", class.Window))
+	}
+	for _, tenant := range s.Tenants {
+		line("settings.tenants", fmt.Sprint(tenant.Name, " ", tenant.Quota))
+	}
+	return text.String()
+}
+
+// The configuration of the operators' page is read as it was recorded, and each key of
+// it is read: with the key renamed something else comes of it.
+func TestFormOfTheConfiguration(t *testing.T) {
+	path := filepath.Join("testdata", "config.json")
+	cfg, err := Load(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := describe(&cfg)
+	compareWithFile(t, "config.txt", want)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	keys := regexp.MustCompile(`"[a-z_-]+":`).FindAllString(string(text), -1)
+	slices.Sort(keys)
+	for _, key := range slices.Compact(keys) {
+		if key == `"grace-to-answer-us":` {
+			continue // only bounds the deadlines: TestBadConfigurations shows that it is read
+		}
+		renamed := strings.ReplaceAll(string(text), key, strings.Replace(key, `":`, `x":`, 1))
+		if c, err := parseConfig([]byte(renamed)); err == nil && describe(&c) == want {
+			t.Errorf("%s is not read", key)
+		}
+	}
+}
+
+// What /up answers: the status, the body and the names of the headers, the same before
+// a relay of configuration has answered as the supervisors and rigs read them.
+func TestFormOfUp(t *testing.T) {
+	var text strings.Builder
+	silent := listen(t) // discovery and relay: what is known stays
+	cfg, err := parseConfig([]byte(configText(silent.Addr().String(), "127.0.0.1:1")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, opt := range []Options{
+		{},
+		{Configuration: &operator.Configuration{Region: "r", Relays: []string{silent.Addr().String()}, Services: []string{"s"}}},
+	} {
+		s, err := StartWith(cfg, opt)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.NoteReload(true)
+		s.NoteReload(true)
+		s.NoteReload(false)
+		for range 2 {
+			c := dialClient(t, s)
+			if _, err := io.WriteString(c, "GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"); err != nil {
+				t.Fatal(err)
+			}
+			answer, err := io.ReadAll(bufio.NewReader(c))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := strings.ReplaceAll(string(answer), fmt.Sprintf("X-Pid: %d\r", os.Getpid()), "X-Pid: PID\r")
+			got = regexp.MustCompile(`Date: [^\r]*`).ReplaceAllString(got, "Date: DATE")
+			text.WriteString(strings.ReplaceAll(got, "\r\n", "<CRLF>\n") + "\n")
+			s.front.SetDraining(true)
+		}
+		s.front.Listener().Close()
+		s.stop()
+	}
+	compareWithFile(t, "up.txt", text.String())
+}
+
+// What a sidecar derives from its name and shows to others stays: the delay of its
+// failover, the spread of its seed.
+func TestDerivedFromTheName(t *testing.T) {
+	var text strings.Builder
+	for _, name := range []string{"n1", "n2", "", "sidecar-17"} {
+		fmt.Fprintf(&text, "%q %v %v %x\n", name, FailoverDelay(name, 7*time.Second), FailoverDelay(name, 0), seedOf(name))
+	}
+	for _, sockets := range []int{64, 100, 4096} {
+		serve, refuse := clientShares(sockets)
+		fmt.Fprintf(&text, "%d sockets: %d for upstreams, %d served, %d refused\n", sockets, upstreamShare(sockets), serve, refuse)
+	}
+	for _, deadline := range []time.Duration{time.Second, 8 * time.Second} {
+		s := &Sidecar{cfg: Config{Settings: balance.Settings{Classes: []balance.Class{{Deadline: deadline}, {Deadline: time.Second}}}}}
+		fmt.Fprintf(&text, "deadline %v: a drain of %v", deadline, s.drainBound())
+		s.SetFinish(3 * time.Second)
+		fmt.Fprintf(&text, ", %v\n", s.drainBound())
+	}
+	compareWithFile(t, "derived.txt", text.String())
+}
