--- a/internal/coapfront/front.go
+++ b/internal/coapfront/front.go
@@ -1,5 +1,5 @@
 // Package coapfront takes the application's requests over CoAP: a socket and its
-// clock round the decisions of package gate, joined to the engine. It decides
+// clock round the decisions of package gate, joined to the dispatcher. It decides
 // nothing.
 package coapfront
 
@@ -22,7 +22,7 @@
 	"otterspring/internal/coap/format"
 	"otterspring/internal/coap/gate"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // Front is a CoAP server's socket. Its goroutines are one that reads, one that
@@ -30,8 +30,8 @@
 type Front struct {
 	life   *life // nil without a state file
 	conn   *net.UDPConn
-	eng    *engine.Engine
-	bodies *engine.Budget
+	eng    *dispatch.Dispatcher
+	bodies *dispatch.Budget
 	start  time.Time
 
 	mu    sync.Mutex // gate, open and rng
@@ -50,15 +50,15 @@
 	unsent   atomic.Int64
 }
 
-// request is one that the engine has.
+// request is one that the dispatcher has.
 type request struct {
 	front *Front
-	call  engine.Call
+	call  dispatch.Request
 	asked gate.Request
 	came  atomic.Int64
 }
 
-// SetReadDeadline wakes the goroutine that answers: the engine calls it once the
+// SetReadDeadline wakes the goroutine that answers: the dispatcher calls it once the
 // answer stands. It never blocks, since the channel has room for every open
 // request.
 func (r *request) SetReadDeadline(time.Time) error {
@@ -73,9 +73,9 @@
 func (r *request) SetDeadline(time.Time) error { return nil }
 
 // Neutral is the request for upstreams of any protocol.
-func (r *request) Neutral() engine.Message {
+func (r *request) Neutral() dispatch.Message {
 	q := &r.asked
-	m := engine.Message{Target: q.Target, ID: r.call.ID, Idempotency: q.Idempotency, Tenant: q.Tenant, Key: q.Key, Again: q.Again, Safe: q.Safe}
+	m := dispatch.Message{Target: q.Target, ID: r.call.ID, IdempotencyKey: q.Idempotency, Tenant: q.Tenant, AffinityKey: q.Key, IsRetry: q.Again, Safe: q.Safe}
 	if q.ContentFormat >= 0 {
 		m.ContentType, _ = format.Type(q.ContentFormat)
 	}
@@ -86,7 +86,7 @@
 type Settings struct {
 	Listen string // an address of one machine: multicast is never answered
 	Gate   gate.Settings
-	Bodies *engine.Budget // of all request bodies, those of other fronts among them
+	Bodies *dispatch.Budget // of all request bodies, those of other fronts among them
 	// State is the file in which a process leaves what the next one has to know;
 	// empty for none: what Gate says of earlier processes holds then.
 	State string
@@ -96,7 +96,7 @@
 }
 
 // Listen opens the socket. Nothing is read before Serve.
-func Listen(set Settings, eng *engine.Engine) (*Front, error) {
+func Listen(set Settings, eng *dispatch.Dispatcher) (*Front, error) {
 	addr, err := netip.ParseAddrPort(set.Listen)
 	if err != nil || addr.Addr().IsMulticast() || addr.Addr().IsUnspecified() {
 		// On an unspecified address a multicast datagram could not be told from one
@@ -232,7 +232,7 @@
 func (f *Front) Give() []byte {
 	f.mu.Lock()
 	f.over, f.given = true, true
-	f.conn.SetReadDeadline(engine.Past)
+	f.conn.SetReadDeadline(dispatch.PastDeadline)
 	table, cleanIn := f.gate.Carry(f.now())
 	f.carry(f.gate.EndObservations(f.now(), nil))
 	return append(binary.BigEndian.AppendUint64(nil, uint64(cleanIn)), table...)
@@ -326,12 +326,12 @@
 	}
 }
 
-// ask hands a request to the engine.
+// ask hands a request to the dispatcher.
 func (f *Front) ask(r *request) {
 	q := &r.asked
-	r.call.Form, r.call.Conn, r.call.Done = r, r, make(chan struct{})
+	r.call.Native, r.call.Conn, r.call.Done = r, r, make(chan struct{})
 	if len(q.Body) > 0 {
-		r.call.Body = engine.NewBody(f.bodies, &r.came)
+		r.call.Body = dispatch.NewBody(f.bodies, &r.came)
 		if err := r.call.Body.Fill(bytes.NewReader(q.Body), len(q.Body)); err != nil {
 			r.call.Body.Release()
 			f.finish(r, gate.Answer{Outcome: gate.Refused, Wait: time.Second})
@@ -339,7 +339,7 @@
 		}
 	}
 	held := r.call.Body // until the answer stands, the front holds it, too
-	if !f.eng.Request(&r.call, balance.Request{
+	if !f.eng.Submit(&r.call, balance.Request{
 		ID: r.call.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Again: q.Again, Deadline: q.Deadline,
 	}) {
 		held.Release()
@@ -354,7 +354,7 @@
 		select {
 		case r := <-f.answered:
 			r.call.Body.Release()
-			f.finish(r, answerOf(&r.call.Answer))
+			f.finish(r, answerOf(&r.call.Result))
 		case <-f.ended:
 			return
 		}
@@ -368,11 +368,11 @@
 	f.carry(f.gate.Answer(f.now(), r.asked.Handle, a, nil))
 }
 
-// answerOf is an engine's answer in the gate's words. It releases the response.
-func answerOf(a *engine.Answer) gate.Answer {
+// answerOf is a dispatcher's answer in the gate's words. It releases the response.
+func answerOf(a *dispatch.Result) gate.Answer {
 	switch a.Kind {
 	case balance.Refuse:
-		return gate.Answer{Outcome: gate.Refused, Wait: a.Wait}
+		return gate.Answer{Outcome: gate.Refused, Wait: a.RetryAfter}
 	case balance.Fail:
 		return gate.Answer{Outcome: gate.Failed}
 	}
--- a/internal/coapfront/front_test.go
+++ b/internal/coapfront/front_test.go
@@ -16,9 +16,9 @@
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/gate"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/engine"
 	"otterspring/internal/lab/standin/coapclient"
 	"otterspring/internal/lab/standin/lossylink"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const patience = 60 * time.Second
@@ -38,8 +38,8 @@
 func (r response) ContentType() []byte { return []byte("text/plain") }
 func (r response) Release()            {}
 
-func (u *upstream) Run(a *engine.Attempt) {
-	m := a.Call.Form.Neutral()
+func (u *upstream) Run(a *dispatch.Attempt) {
+	m := a.Request.Native.Neutral()
 	u.mu.Lock()
 	u.ran[m.ID]++
 	u.mu.Unlock()
@@ -48,7 +48,7 @@
 	if body == nil {
 		body = []byte(m.ID)
 	}
-	a.End(balance.OK, response(body))
+	a.Finish(balance.OK, response(body))
 }
 
 // counts is how often each request ran.
@@ -67,17 +67,17 @@
 		{Name: "roster", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 3, Effect: balance.Repeat},
 		{Name: "start-rec", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 5, Effect: balance.Once},
 	}
-	eng, err := engine.New(engine.Settings{
-		Balance: balance.Settings{MaxAttempts: 3, Classes: classes, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond}, Seed: 1, Dial: time.Second,
-		Open: func(string, int64) engine.Upstream { return up },
+	eng, err := dispatch.New(dispatch.Settings{
+		Balance: balance.Settings{MaxAttempts: 3, Classes: classes, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond}, Seed: 1, DialTimeout: time.Second,
+		OpenUpstream: func(string, int64) dispatch.Upstream { return up },
 	}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng.Members(balance.ListFull, engine.List{Index: 1, Full: true, Entries: []engine.Entry{{Server: balance.Server{ID: "s1", State: balance.Ready}, Addr: "127.0.0.1:1"}}}, 0)
+	eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 1, Snapshot: true, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s1", State: balance.Ready}, Address: "127.0.0.1:1"}}}, 0)
 	p := exchange.Defaults()
 	p.AckTimeout, p.AckAfter = 200*time.Millisecond, 50*time.Millisecond
-	set := Settings{Listen: "127.0.0.1:0", Bodies: engine.NewBudget(8 << 20), Gate: gate.Settings{
+	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Gate: gate.Settings{
 		Params: p, Limits: exchange.Limits{Open: 256, Kept: 4096, KeptBytes: 1 << 20},
 		Blocks:  block.Limits{Transfers: 16, Body: 64 << 10, Bytes: 1 << 20, Idle: patience, Size: 1024},
 		Classes: map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: gate.Once, Deadline: 30 * time.Second}},
--- a/internal/coapfront/settings.go
+++ b/internal/coapfront/settings.go
@@ -10,8 +10,8 @@
 	"otterspring/internal/coap/caller"
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/gate"
-	"otterspring/internal/engine"
 	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const (
@@ -32,14 +32,14 @@
 	p.AckTimeout = o.AckTimeout
 	p.AckAfter = p.AckTimeout / 4
 	return caller.Settings{
-		Params: p, Limits: exchange.ClientLimits{Open: mostOut, Heard: mostOut}, Body: engine.MostBody, Block: 1024, EchoFor: echoFor, Seed: seed ^ 0x636c6e74,
+		Params: p, Limits: exchange.ClientLimits{Open: mostOut, Heard: mostOut}, Body: dispatch.MaxBodySize, Block: 1024, EchoFor: echoFor, Seed: seed ^ 0x636c6e74,
 	}
 }
 
 // FromOperator are the settings that the operator's file gives, for the classes
 // that the platform gives. deadlineTimes bounds a request's own deadline as a
 // multiple of its class's.
-func FromOperator(o *operator.CoAP, all []balance.Class, deadlineTimes float64, seed uint64, bodies *engine.Budget) Settings {
+func FromOperator(o *operator.CoAP, all []balance.Class, deadlineTimes float64, seed uint64, bodies *dispatch.Budget) Settings {
 	key := make([]byte, 32)
 	rand.Read(key) // it never fails
 	effects := map[balance.Effect]gate.Effect{balance.Repeat: gate.Repeat, balance.Keyed: gate.Keyed, balance.Once: gate.Once}
@@ -54,7 +54,7 @@
 	return Settings{Listen: o.Listen, Bodies: bodies, State: o.State, Gate: gate.Settings{
 		Params:  exchange.Defaults(),
 		Limits:  exchange.Limits{Open: o.Open, Kept: o.Kept, KeptBytes: int(o.KeptBytes), Settled: o.Settled},
-		Blocks:  block.Limits{Transfers: o.Transfers, Body: engine.MostBody, Bytes: int(o.TransferBytes), Idle: blockIdle, Size: 1024},
+		Blocks:  block.Limits{Transfers: o.Transfers, Body: dispatch.MaxBodySize, Bytes: int(o.TransferBytes), Idle: blockIdle, Size: 1024},
 		Classes: classes, DeadlineTimes: deadlineTimes, Observers: o.Observers, ObserveEvery: o.ObserveEvery,
 		Trusted: trusted, Clean: o.First, EchoKey: key, EchoAge: echoAge, Seed: seed ^ 0x636f6170,
 	}}
--- a/internal/coapupstream/pool.go
+++ b/internal/coapupstream/pool.go
@@ -16,7 +16,7 @@
 	"otterspring/internal/coap/caller"
 	"otterspring/internal/coap/format"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // Scheme stands before the address of a call server that speaks CoAP, in a list.
@@ -32,14 +32,14 @@
 
 // New returns a pool of at most so many sockets.
 func New(set caller.Settings, most int) *Pool {
-	// What the engine sends goes out at once: the decision module bounds a
+	// What the dispatcher sends goes out at once: the decision module bounds a
 	// server's load, and a request that waited here would not be seen by it.
 	set.Params.NStart = set.Limits.Open
 	return &Pool{set: set, most: most}
 }
 
-// Open is the engine's way to a call server. Nothing is opened yet.
-func (p *Pool) Open(addr string, _ int64) engine.Upstream {
+// Open is the dispatcher's way to a call server. Nothing is opened yet.
+func (p *Pool) Open(addr string, _ int64) dispatch.Upstream {
 	return &host{pool: p, addr: addr}
 }
 
@@ -70,7 +70,7 @@
 	start   time.Time
 	timer   *time.Timer
 	waiting map[uint64]chan caller.Action
-	owners  map[uint64]*engine.Attempt
+	owners  map[uint64]*dispatch.Attempt
 	last    uint64
 	retired bool
 }
@@ -155,7 +155,7 @@
 		return err
 	}
 	h.conn, h.caller, h.start = conn, c, time.Now()
-	h.waiting, h.owners = map[uint64]chan caller.Action{}, map[uint64]*engine.Attempt{}
+	h.waiting, h.owners = map[uint64]chan caller.Action{}, map[uint64]*dispatch.Attempt{}
 	h.timer = time.AfterFunc(time.Hour, func() { h.tick(conn) })
 	go h.read(conn)
 	return nil
@@ -197,7 +197,7 @@
 	for i := 0; i < len(acts); i++ {
 		switch x := &acts[i]; x.Kind {
 		case caller.Commit:
-			// The engine hears of it before the datagram that may run leaves; where it
+			// The dispatcher hears of it before the datagram that may run leaves; where it
 			// has given the attempt up, that one does not leave.
 			if a := h.owners[x.Handle]; a != nil && !a.Commit() {
 				if i+1 < len(acts) && acts[i+1].Kind == caller.Send {
@@ -234,13 +234,13 @@
 	h.carry(h.caller.Cancel(h.now(), handle, nil))
 }
 
-// link is what the engine ends an attempt's wait by.
+// link is what the dispatcher ends an attempt's wait by.
 type link struct {
 	once  sync.Once
 	ended chan struct{}
 }
 
-// SetDeadline ends the wait: the engine only sets one that is past.
+// SetDeadline ends the wait: the dispatcher only sets one that is past.
 func (l *link) SetDeadline(time.Time) error {
 	l.once.Do(func() { close(l.ended) })
 	return nil
@@ -250,7 +250,7 @@
 func (l *link) SetReadDeadline(time.Time) error { return nil }
 
 // Run carries out an attempt.
-func (h *host) Run(a *engine.Attempt) {
+func (h *host) Run(a *dispatch.Attempt) {
 	l := &link{ended: make(chan struct{})}
 	left, ok := a.Attach(l)
 	if !ok {
@@ -258,19 +258,19 @@
 	}
 	way := h.lane()
 	if way == nil {
-		a.End(balance.NeverSent, nil)
+		a.Finish(balance.NeverSent, nil)
 		return
 	}
 	handle, got, err := way.begin(a, left)
 	if err != nil {
-		a.End(balance.NeverSent, nil)
+		a.Finish(balance.NeverSent, nil)
 		return
 	}
 	select {
 	case x, there := <-got:
 		if there {
 			status, resp := outcome(&x)
-			a.End(status, resp)
+			a.Finish(status, resp)
 		}
 	case <-l.ended:
 		way.mu.Lock()
@@ -283,11 +283,11 @@
 }
 
 // begin sends a request.
-func (h *lane) begin(a *engine.Attempt, left time.Duration) (uint64, chan caller.Action, error) {
-	m := a.Call.Form.Neutral()
+func (h *lane) begin(a *dispatch.Attempt, left time.Duration) (uint64, chan caller.Action, error) {
+	m := a.Request.Native.Neutral()
 	r := caller.Request{
-		Unsafe: !m.Safe, Safe: m.Safe, Target: m.Target, ID: m.ID, Idempotency: m.Idempotency, Tenant: m.Tenant, Key: m.Key, Again: m.Again,
-		Deadline: left, Body: bytes.Join(a.Call.Body.Chunks(), nil), ContentFormat: -1,
+		Unsafe: !m.Safe, Safe: m.Safe, Target: m.Target, ID: m.ID, Idempotency: m.IdempotencyKey, Tenant: m.Tenant, Key: m.AffinityKey, Again: m.IsRetry,
+		Deadline: left, Body: bytes.Join(a.Request.Body.Chunks(), nil), ContentFormat: -1,
 	}
 	if m.ContentType != "" {
 		r.ContentFormat = format.Number(m.ContentType)
@@ -305,7 +305,7 @@
 }
 
 // outcome is an ending in the module's words.
-func outcome(x *caller.Action) (balance.Status, engine.Response) {
+func outcome(x *caller.Action) (balance.Status, dispatch.Response) {
 	switch x.Ending {
 	case caller.Served:
 		r := &response{body: x.Body}
--- a/internal/coapupstream/pool_test.go
+++ b/internal/coapupstream/pool_test.go
@@ -10,7 +10,7 @@
 	"otterspring/internal/coap/caller"
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const patience = 60 * time.Second
@@ -55,9 +55,9 @@
 
 type form struct{}
 
-func (form) Neutral() engine.Message { return engine.Message{Target: "/act", ID: "id"} }
+func (form) Neutral() dispatch.Message { return dispatch.Message{Target: "/act", ID: "id"} }
 
-// client is a front's end: the engine wakes it.
+// client is a front's end: the dispatcher wakes it.
 type client struct{}
 
 func (client) SetDeadline(time.Time) error     { return nil }
@@ -66,21 +66,21 @@
 // ask asks once for what must not run twice, of the servers given.
 func ask(t *testing.T, pool *Pool, deadline time.Duration, addrs ...string) balance.ActionKind {
 	t.Helper()
-	eng, err := engine.New(engine.Settings{
+	eng, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond,
 			Classes: []balance.Class{{Name: "act", Aim: deadline, Deadline: deadline, Worth: 1, Effect: balance.Once}}},
-		Seed: 1, Dial: time.Second, Open: pool.Open,
+		Seed: 1, DialTimeout: time.Second, OpenUpstream: pool.Open,
 	}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := engine.List{Index: 1, Full: true}
+	l := dispatch.EndpointList{Version: 1, Snapshot: true}
 	for _, a := range addrs {
-		l.Entries = append(l.Entries, engine.Entry{Server: balance.Server{ID: a, State: balance.Ready}, Addr: a})
+		l.Endpoints = append(l.Endpoints, dispatch.Endpoint{Server: balance.Server{ID: a, State: balance.Ready}, Address: a})
 	}
-	eng.Members(balance.ListFull, l, 0)
-	c := &engine.Call{ID: "id", Form: form{}, Conn: client{}, Done: make(chan struct{})}
-	if !eng.Request(c, balance.Request{ID: "id", Class: "act", Deadline: deadline}) {
+	eng.UpdateEndpoints(balance.ListFull, l, 0)
+	c := &dispatch.Request{ID: "id", Native: form{}, Conn: client{}, Done: make(chan struct{})}
+	if !eng.Submit(c, balance.Request{ID: "id", Class: "act", Deadline: deadline}) {
 		t.Fatal("not taken")
 	}
 	select {
@@ -89,13 +89,13 @@
 		t.Fatal("no answer")
 	}
 	// The list without them retires the servers: their sockets are closed.
-	eng.Members(balance.ListFull, engine.List{Index: 2, Full: true}, 0)
+	eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 2, Snapshot: true}, 0)
 	for end := time.Now().Add(patience); pool.Sockets() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d sockets are left", pool.Sockets())
 		}
 	}
-	return c.Answer.Kind
+	return c.Result.Kind
 }
 
 func newPool(most int) *Pool {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
 // Package discovery follows the platform's list of upstreams and hands every
-// change to the engine.
+// change to the dispatcher.
 package discovery
 
 import (
@@ -21,8 +21,8 @@
 	"github.com/valyala/fastjson"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
 	"otterspring/internal/pace"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const (
@@ -71,35 +71,35 @@
 
 // Parse reads a list strictly: what is not understood may be any nonsense,
 // and a list half read could drop upstreams that are there.
-func Parse(v *fastjson.Value, schemes ...string) (engine.List, error) {
+func Parse(v *fastjson.Value, schemes ...string) (dispatch.EndpointList, error) {
 	if v.Type() != fastjson.TypeObject {
-		return engine.List{}, fmt.Errorf("list: expected an object, found %s", v.Type())
+		return dispatch.EndpointList{}, fmt.Errorf("list: expected an object, found %s", v.Type())
 	}
 	index, err := number(v, "index")
 	if err != nil {
-		return engine.List{}, err
+		return dispatch.EndpointList{}, err
 	}
 	full := v.Get("snapshot")
 	if full == nil || full.Type() != fastjson.TypeTrue && full.Type() != fastjson.TypeFalse {
-		return engine.List{}, errors.New("snapshot: expected true or false")
+		return dispatch.EndpointList{}, errors.New("snapshot: expected true or false")
 	}
 	ends := v.Get("endpoints")
 	if ends == nil || ends.Type() != fastjson.TypeArray {
-		return engine.List{}, errors.New("endpoints: expected an array")
+		return dispatch.EndpointList{}, errors.New("endpoints: expected an array")
 	}
-	l := engine.List{Index: index, Full: full.Type() == fastjson.TypeTrue}
+	l := dispatch.EndpointList{Version: index, Snapshot: full.Type() == fastjson.TypeTrue}
 	for i, v := range ends.GetArray() {
 		n, err := parseEntry(v, schemes)
 		if err != nil {
-			return engine.List{}, fmt.Errorf("endpoint %d: %w", i, err)
+			return dispatch.EndpointList{}, fmt.Errorf("endpoint %d: %w", i, err)
 		}
-		l.Entries = append(l.Entries, n)
+		l.Endpoints = append(l.Endpoints, n)
 	}
 	return l, nil
 }
 
-func parseEntry(v *fastjson.Value, schemes []string) (engine.Entry, error) {
-	n := engine.Entry{Addr: string(v.GetStringBytes("address"))}
+func parseEntry(v *fastjson.Value, schemes []string) (dispatch.Endpoint, error) {
+	n := dispatch.Endpoint{Address: string(v.GetStringBytes("address"))}
 	n.ID, n.Zone, n.Cell = string(v.GetStringBytes("name")), string(v.GetStringBytes("zone")), v.GetInt("group")
 	if n.ID == "" {
 		return n, errors.New("name: missing")
@@ -109,12 +109,12 @@
 		return n, fmt.Errorf("status: unknown %q", v.GetStringBytes("status"))
 	}
 	n.State = state
-	if _, err := netip.ParseAddrPort(bare(n.Addr, schemes)); err != nil && state != balance.Gone {
-		return n, fmt.Errorf("address: expected an IP address and port, found %q", n.Addr)
+	if _, err := netip.ParseAddrPort(bare(n.Address, schemes)); err != nil && state != balance.Gone {
+		return n, fmt.Errorf("address: expected an IP address and port, found %q", n.Address)
 	}
 	if v.Exists("since_ms") {
 		var err error
-		if n.Since, err = number(v, "since_ms"); err != nil {
+		if n.StartedMillis, err = number(v, "since_ms"); err != nil {
 			return n, err
 		}
 	}
@@ -143,7 +143,7 @@
 
 // Follower follows the list of upstreams.
 type Follower struct {
-	eng     *engine.Engine
+	eng     *dispatch.Dispatcher
 	pushed  bool // lists come without being asked for
 	schemes []string
 	index   int64
@@ -225,9 +225,9 @@
 	}
 }
 
-// Run hands the engine every list until ctx ends: it calls discovery when the
+// Run hands the dispatcher every list until ctx ends: it calls discovery when the
 // module asks, and watches on until a call fails.
-func (d *Follower) Run(ctx context.Context, eng *engine.Engine) {
+func (d *Follower) Run(ctx context.Context, eng *dispatch.Dispatcher) {
 	d.eng = eng
 	defer d.hangUp()
 	if d.proxy == "" {
@@ -286,7 +286,7 @@
 		}
 		tries = 0
 		slog.Warn("discovery failed", "why", err)
-		d.eng.Members(balance.ListFailed, engine.List{}, n)
+		d.eng.UpdateEndpoints(balance.ListFailed, dispatch.EndpointList{}, n)
 		if d.pushed {
 			pause(ctx, retryPushed)
 		}
@@ -301,7 +301,7 @@
 	}
 }
 
-// watch hands every change to the engine until a call fails. It tells whether
+// watch hands every change to the dispatcher until a call fails. It tells whether
 // any call before that was answered.
 func (d *Follower) watch(ctx context.Context, addr string, moves int) (heard bool, err error) {
 	for {
@@ -311,19 +311,19 @@
 			return heard, err
 		}
 		kind := balance.ListChange
-		if l.Full {
+		if l.Snapshot {
 			kind = balance.ListFull
-		} else if l.Index < d.index {
-			err := fmt.Errorf("a change of version %d after version %d", l.Index, d.index)
+		} else if l.Version < d.index {
+			err := fmt.Errorf("a change of version %d after version %d", l.Version, d.index)
 			d.index = none // ask for the whole list next
 			return heard, err
 		}
 		heard = true
-		news := l.Index != d.index
-		d.index = l.Index
+		news := l.Version != d.index
+		d.index = l.Version
 		// An answer that crossed a move is of the old address, and as good as told:
 		// a drain in it holds, whatever the new one knows of it yet.
-		d.eng.Members(kind, l, moves)
+		d.eng.UpdateEndpoints(kind, l, moves)
 		if err := ctx.Err(); err != nil {
 			return heard, err
 		}
@@ -381,7 +381,7 @@
 // call makes one call. Every step of it is bounded in time: discovery may fall
 // silent with the connection up.
 // It tells whose versions the list bears where that is said.
-func (d *Follower) call(ctx context.Context, addr string, watch, within time.Duration) (list engine.List, source string, err error) {
+func (d *Follower) call(ctx context.Context, addr string, watch, within time.Duration) (list dispatch.EndpointList, source string, err error) {
 	path, wait := "/discovery/hosts", wholeWithin
 	if d.index > none {
 		wait = watch + within
@@ -429,30 +429,30 @@
 }
 
 // ParseText reads a list in discovery's form.
-func ParseText(text []byte, schemes ...string) (engine.List, error) {
+func ParseText(text []byte, schemes ...string) (dispatch.EndpointList, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return engine.List{}, fmt.Errorf("not JSON: %w", err)
+		return dispatch.EndpointList{}, fmt.Errorf("not JSON: %w", err)
 	}
 	return Parse(v, schemes...)
 }
 
 // Text is a list in discovery's form.
-func Text(l engine.List) []byte {
+func Text(l dispatch.EndpointList) []byte {
 	var a fastjson.Arena
 	ends := a.NewArray()
-	for i, n := range l.Entries {
+	for i, n := range l.Endpoints {
 		e := a.NewObject()
 		e.Set("name", a.NewString(n.ID))
-		e.Set("address", a.NewString(n.Addr))
+		e.Set("address", a.NewString(n.Address))
 		e.Set("zone", a.NewString(n.Zone))
 		e.Set("group", a.NewNumberInt(n.Cell))
 		e.Set("status", a.NewString(statusWords[n.State]))
-		e.Set("since_ms", a.NewNumberString(strconv.FormatInt(n.Since, 10)))
+		e.Set("since_ms", a.NewNumberString(strconv.FormatInt(n.StartedMillis, 10)))
 		ends.SetArrayItem(i, e)
 	}
 	out := a.NewObject()
-	out.Set("index", a.NewNumberString(strconv.FormatInt(l.Index, 10)))
+	out.Set("index", a.NewNumberString(strconv.FormatInt(l.Version, 10)))
 	out.Set("snapshot", a.NewTrue())
 	out.Set("endpoints", ends)
 	return out.MarshalTo(nil)
--- a/internal/discovery/forms_test.go
+++ b/internal/discovery/forms_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
@@ -35,11 +35,11 @@
 }
 
 // describe is a list by the names of discovery's form.
-func describe(l engine.List) string {
+func describe(l dispatch.EndpointList) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "index=%d snapshot=%t\n", l.Index, l.Full)
-	for _, n := range l.Entries {
-		fmt.Fprintf(&text, "name=%s address=%s zone=%s group=%d status=%d since_ms=%d\n", n.ID, n.Addr, n.Zone, n.Cell, n.State, n.Since)
+	fmt.Fprintf(&text, "index=%d snapshot=%t\n", l.Version, l.Snapshot)
+	for _, n := range l.Endpoints {
+		fmt.Fprintf(&text, "name=%s address=%s zone=%s group=%d status=%d since_ms=%d\n", n.ID, n.Address, n.Zone, n.Cell, n.State, n.StartedMillis)
 	}
 	return text.String()
 }
--- a/internal/discovery/orders_test.go
+++ b/internal/discovery/orders_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // patience bounds every wait; the tests wait on conditions.
@@ -19,26 +19,26 @@
 
 type noUpstream struct{}
 
-func (noUpstream) Run(*engine.Attempt) {}
-func (noUpstream) CloseIdle()          {}
-func (noUpstream) Retire()             {}
+func (noUpstream) Run(*dispatch.Attempt) {}
+func (noUpstream) CloseIdle()            {}
+func (noUpstream) Retire()               {}
 
 // follow runs a follower of a scripted discovery: serve gets each call that comes.
-func follow(t *testing.T, serve func(c net.Conn, r *http.Request)) (*Follower, *engine.Engine) {
+func follow(t *testing.T, serve func(c net.Conn, r *http.Request)) (*Follower, *dispatch.Dispatcher) {
 	t.Helper()
 	return followOne(t, false, serve)
 }
 
-func followOne(t *testing.T, pushed bool, serve func(c net.Conn, r *http.Request), set ...func(*Follower)) (*Follower, *engine.Engine) {
+func followOne(t *testing.T, pushed bool, serve func(c net.Conn, r *http.Request), set ...func(*Follower)) (*Follower, *dispatch.Dispatcher) {
 	t.Helper()
 	f := New(listenFor(t, serve), pushed, 0)
 	for _, s := range set {
 		s(f)
 	}
 	f.crossing = patience // for a slow machine
-	eng, err := engine.New(engine.Settings{
-		Balance: balance.Settings{Subscribe: !pushed && len(set) == 0, MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
-		Open:    func(string, int64) engine.Upstream { return noUpstream{} },
+	eng, err := dispatch.New(dispatch.Settings{
+		Balance:      balance.Settings{Subscribe: !pushed && len(set) == 0, MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
+		OpenUpstream: func(string, int64) dispatch.Upstream { return noUpstream{} },
 	}, f.Ask)
 	if err != nil {
 		t.Fatal(err)
@@ -96,9 +96,9 @@
 	}
 }
 
-// state is what the engine holds of s1; -1 for nothing.
-func state(eng *engine.Engine) balance.ServerState {
-	for _, e := range eng.List().Entries {
+// state is what the dispatcher holds of s1; -1 for nothing.
+func state(eng *dispatch.Dispatcher) balance.ServerState {
+	for _, e := range eng.Endpoints().Endpoints {
 		return e.State
 	}
 	return -1
--- a/internal/discovery/proxy.go
+++ b/internal/discovery/proxy.go
@@ -91,8 +91,8 @@
 	p := &Follower{schemes: d.schemes, index: none}
 	defer p.hangUp()
 	l, source, err := p.call(ctx, d.proxy, proxyWatchTimeout, proxyAnswerTimeout)
-	index, _ := d.eng.Version()
-	return err == nil && source == d.source && l.Index >= index
+	index, _ := d.eng.EndpointVersion()
+	return err == nil && source == d.source && l.Version >= index
 }
 
 // where returns discovery's address, and how often it has moved.
@@ -102,7 +102,7 @@
 	return d.addr, d.moves
 }
 
-// watchProxy hands the engine each list of the proxy until that fails or discovery
+// watchProxy hands the dispatcher each list of the proxy until that fails or discovery
 // moves. It reports whether the proxy had answered before.
 func (d *Follower) watchProxy(ctx context.Context) (answered, moved bool, err error) {
 	for {
@@ -124,21 +124,21 @@
 		if err == nil && source != d.source {
 			err = fmt.Errorf("found a list of %q, wanted %q's", source, d.source)
 		}
-		if err == nil && l.Index < d.index {
+		if err == nil && l.Version < d.index {
 			// A proxy with an older list, snapshot or delta, was suspended.
-			err = fmt.Errorf("found version %d after version %d", l.Index, d.index)
+			err = fmt.Errorf("found version %d after version %d", l.Version, d.index)
 		}
 		if err != nil {
 			return answered, false, err
 		}
 		kind := balance.ListChange
-		if l.Full {
+		if l.Snapshot {
 			kind = balance.ListFull
 		}
 		answered = true
-		d.index = l.Index
-		d.eng.Members(kind, l, 0)
-		if len(l.Entries) == 0 && time.Since(began) < rest {
+		d.index = l.Version
+		d.eng.UpdateEndpoints(kind, l, 0)
+		if len(l.Endpoints) == 0 && time.Since(began) < rest {
 			pause(ctx, rest)
 		}
 	}
--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const (
@@ -82,8 +82,8 @@
 	case class.Effect == balance.Keyed && len(h.Peek("Idempotency-Key")) == 0:
 		// Its repeats would run again.
 		return badRequest("Idempotency-Key: missing")
-	case h.ContentLength() > engine.MostBody:
-		return &fault{fasthttp.StatusRequestEntityTooLarge, engine.ErrTooLarge.Error()}
+	case h.ContentLength() > dispatch.MaxBodySize:
+		return &fault{fasthttp.StatusRequestEntityTooLarge, dispatch.ErrBodyTooLarge.Error()}
 	}
 	return nil
 }
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -1,6 +1,6 @@
 // Package httpfront takes the application's requests over HTTP/1.1: it bounds the
 // clients' connections in number and time, holds requests against the protocol,
-// hands them to the engine and writes the answers.
+// hands them to the dispatcher and writes the answers.
 package httpfront
 
 import (
@@ -20,8 +20,8 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
 	"otterspring/internal/httpupstream"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const (
@@ -88,9 +88,9 @@
 // rejectBody answers a request whose body could not be read.
 func rejectBody(ctx *fasthttp.RequestCtx, err error) {
 	switch {
-	case errors.Is(err, engine.ErrNoRoom):
+	case errors.Is(err, dispatch.ErrBudgetExhausted):
 		busy(ctx, err.Error())
-	case errors.Is(err, engine.ErrTooLarge):
+	case errors.Is(err, dispatch.ErrBodyTooLarge):
 		unread(ctx, fasthttp.StatusRequestEntityTooLarge, err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		unread(ctx, fasthttp.StatusRequestTimeout, "body: too slow")
@@ -139,40 +139,40 @@
 		return
 	}
 	bodiless := ctx.IsGet()
-	c := &engine.Call{ID: q.ID, Conn: cc, Done: make(chan struct{})}
+	c := &dispatch.Request{ID: q.ID, Conn: cc, Done: make(chan struct{})}
 	if length := h.ContentLength(); !bodiless && length != 0 && ctx.RequestBodyStream() != nil {
-		c.Body = engine.NewBody(f.bodies, &cc.body)
+		c.Body = dispatch.NewBody(f.bodies, &cc.body)
 		defer c.Body.Release()
 		if err := c.Body.Fill(ctx.RequestBodyStream(), length); err != nil {
 			rejectBody(ctx, err)
 			return
 		}
 	}
-	c.Form = requestHead(h, c.Body.Len(), bodiless)
+	c.Native = requestHead(h, c.Body.Len(), bodiless)
 	cc.busy()
-	if !f.eng.Request(c, q) {
+	if !f.eng.Submit(c, q) {
 		unread(ctx, fasthttp.StatusConflict, "X-Request-Id: in use or used before")
 		return
 	}
 	if gone := cc.await(c.Done); gone {
-		f.eng.Left(c)
+		f.eng.ClientDisconnected(c)
 		unread(ctx, fasthttp.StatusBadRequest, "client gone")
 		return
 	}
-	// The engine wakes the front and then ends its reads, both behind its mutex:
+	// The dispatcher wakes the front and then ends its reads, both behind its mutex:
 	// past it, no deadline is still to come that would end the next request.
-	f.eng.Alive()
+	f.eng.Barrier()
 	cc.SetReadDeadline(time.Time{})
-	respond(ctx, &c.Answer)
+	respond(ctx, &c.Result)
 }
 
 // respond writes the answer that the module decided on.
-func respond(ctx *fasthttp.RequestCtx, a *engine.Answer) {
+func respond(ctx *fasthttp.RequestCtx, a *dispatch.Result) {
 	switch {
 	case a.Kind == balance.Refuse:
 		reject(ctx, fasthttp.StatusServiceUnavailable, "refused")
-		if a.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64))
+		if a.RetryAfter > 0 {
+			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 	case a.Kind == balance.Fail:
 		reject(ctx, fasthttp.StatusBadGateway, "failed")
@@ -443,10 +443,10 @@
 
 // Front is the listener, and knows every connection of the application.
 type Front struct {
-	eng           *engine.Engine
+	eng           *dispatch.Dispatcher
 	set           Settings
 	srv           fasthttp.Server
-	bodies        *engine.Budget
+	bodies        *dispatch.Budget
 	ln            *net.TCPListener
 	paused        bool // nothing is accepted; behind mu
 	ended         bool // nor ever will be; behind mu
@@ -466,9 +466,9 @@
 
 // New returns a front on a listener, whose it is from now on. Nothing is accepted
 // before Serve.
-func New(ln *net.TCPListener, eng *engine.Engine, set Settings) *Front {
+func New(ln *net.TCPListener, eng *dispatch.Dispatcher, set Settings) *Front {
 	f := &Front{
-		eng: eng, set: set, bodies: engine.NewBudget(set.Bodies), ln: ln, conns: map[*clientConn]bool{}, start: time.Now(),
+		eng: eng, set: set, bodies: dispatch.NewBudget(set.Bodies), ln: ln, conns: map[*clientConn]bool{}, start: time.Now(),
 		serve: set.Serve, refuse: set.Refuse, spare: set.Spare,
 	}
 	f.freed.L = &f.mu
@@ -497,10 +497,10 @@
 func (f *Front) Listener() *net.TCPListener { return f.ln }
 
 // Budget is that of the request bodies, for fronts that share it.
-func (f *Front) Budget() *engine.Budget { return f.bodies }
+func (f *Front) Budget() *dispatch.Budget { return f.bodies }
 
 // Bodies is how many bytes request bodies may still take.
-func (f *Front) Bodies() int { return f.bodies.Left() }
+func (f *Front) Bodies() int { return f.bodies.Available() }
 
 // SetDraining has every further answer end its connection, or no longer.
 func (f *Front) SetDraining(on bool) { f.draining.Store(on) }
@@ -655,7 +655,7 @@
 	if !c.phase.CompareAndSwap(phaseIdle, phaseClosing) {
 		return false
 	}
-	c.SetReadDeadline(engine.Past)
+	c.SetReadDeadline(dispatch.PastDeadline)
 	return true
 }
 
@@ -673,7 +673,7 @@
 	for c := range f.conns {
 		if c.phase.Load() <= latest {
 			c.over.Store(true)
-			c.SetReadDeadline(engine.Past)
+			c.SetReadDeadline(dispatch.PastDeadline)
 		}
 	}
 }
@@ -705,7 +705,7 @@
 	f.mu.Lock()
 	f.paused = true
 	f.mu.Unlock()
-	f.ln.SetDeadline(engine.Past)
+	f.ln.SetDeadline(dispatch.PastDeadline)
 }
 
 // Resume accepts again.
@@ -722,7 +722,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		c.SetDeadline(engine.Past)
+		c.SetDeadline(dispatch.PastDeadline)
 	}
 	return len(f.conns)
 }
@@ -749,10 +749,10 @@
 		f.mu.Lock()
 		for c := range f.conns {
 			if c.overdue(now) && !c.giveUp() && c.phase.Load() == phaseReading {
-				c.SetReadDeadline(engine.Past)
+				c.SetReadDeadline(dispatch.PastDeadline)
 			}
 			if w := c.wrote.Load(); w > 0 && now-w > writeStall.Milliseconds() {
-				c.SetWriteDeadline(engine.Past)
+				c.SetWriteDeadline(dispatch.PastDeadline)
 			}
 		}
 		f.mu.Unlock()
--- a/internal/httpfront/orders_test.go
+++ b/internal/httpfront/orders_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const patience = 12 * time.Second
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := engine.New(engine.Settings{Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}}}, func() {})
+	eng, err := dispatch.New(dispatch.Settings{Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}}}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	t.Run("the client leaves", func(t *testing.T) {
 		t.Parallel()
 		c, client := pair(t)
-		c.SetReadDeadline(engine.Past)
+		c.SetReadDeadline(dispatch.PastDeadline)
 		left := make(chan bool, 1)
 		go func() { left <- c.await(make(chan struct{})) }()
 		client.Close()
@@ -61,11 +61,11 @@
 	t.Run("the answer comes", func(t *testing.T) {
 		t.Parallel()
 		c, _ := pair(t)
-		c.SetReadDeadline(engine.Past)
+		c.SetReadDeadline(dispatch.PastDeadline)
 		left, done := make(chan bool, 1), make(chan struct{})
 		go func() { left <- c.await(done) }()
 		close(done)
-		c.SetReadDeadline(engine.Past)
+		c.SetReadDeadline(dispatch.PastDeadline)
 		select {
 		case gone := <-left:
 			if gone {
--- a/internal/httpupstream/attempt.go
+++ b/internal/httpupstream/attempt.go
@@ -20,7 +20,7 @@
 	"github.com/valyala/fasthttp"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
 )
 
@@ -306,9 +306,9 @@
 	}
 }
 
-// Open makes an upstream: the engine's way to one at an address. Nothing is
+// Open makes an upstream: the dispatcher's way to one at an address. Nothing is
 // connected yet.
-func (p *Pool) Open(addr string, _ int64) engine.Upstream { return &host{pool: p, addr: addr} }
+func (p *Pool) Open(addr string, _ int64) dispatch.Upstream { return &host{pool: p, addr: addr} }
 
 // CloseIdle closes the idle connections.
 func (h *host) CloseIdle() { h.pool.closeIdle(h) }
@@ -318,7 +318,7 @@
 
 // attempt is an attempt over HTTP/1.1.
 type attempt struct {
-	*engine.Attempt
+	*dispatch.Attempt
 	host *host
 }
 
@@ -353,7 +353,7 @@
 func (a *attempt) dial() (*conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.host.pool.dial)
 	defer cancel()
-	if !a.Dialing(cancel) {
+	if !a.SetDialCancel(cancel) {
 		return nil, context.Canceled
 	}
 	d := net.Dialer{KeepAlive: -1}
@@ -377,11 +377,11 @@
 }
 
 // Run carries out an attempt.
-func (h *host) Run(at *engine.Attempt) {
+func (h *host) Run(at *dispatch.Attempt) {
 	a := &attempt{at, h}
 	c, status := a.connect()
 	if c == nil {
-		a.End(status, nil)
+		a.Finish(status, nil)
 		return
 	}
 	left, ok := a.Attach(c)
@@ -395,7 +395,7 @@
 		}
 		return
 	}
-	c.arm = func() bool { return a.Arm(stall) }
+	c.arm = func() bool { return a.SetReadTimeout(stall) }
 	a.receive(c, a.write(c, left))
 }
 
@@ -410,7 +410,7 @@
 	if _, err := front.WriteTo(c.Conn); err != nil {
 		return false
 	}
-	if !a.Arm(a.host.pool.Hold) {
+	if !a.SetReadTimeout(a.host.pool.Hold) {
 		return false
 	}
 	if _, err := c.br.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -426,16 +426,16 @@
 
 // text is the request as it is written: all but its last byte, and that one.
 func (a *attempt) text(left time.Duration) (front net.Buffers, last []byte) {
-	form, ok := a.Call.Form.(Head)
+	form, ok := a.Request.Native.(Head)
 	if !ok {
-		form = headOf(a.Call.Form.Neutral(), a.Call.Body.Len())
+		form = headOf(a.Request.Native.Neutral(), a.Request.Body.Len())
 	}
 	text := make([]byte, 0, len(form)+64)
 	text = append(text, form...)
 	text = append(text, "X-Deadline: "...)
 	text = strconv.AppendFloat(text, max(left.Seconds(), 0.001), 'f', 4, 64)
 	text = append(text, "\r\n\r\n"...)
-	front = append(net.Buffers{text}, a.Call.Body.Chunks()...)
+	front = append(net.Buffers{text}, a.Request.Body.Chunks()...)
 	end := len(front) - 1
 	for len(front[end]) == 0 {
 		end--
@@ -451,7 +451,7 @@
 // answer, the request may have run, and the connection is of no further use.
 func (a *attempt) receive(c *conn, written bool) {
 	if !written {
-		if a.End(balance.Unwritten, nil) {
+		if a.Finish(balance.Unwritten, nil) {
 			a.host.pool.learn(c.rested, true)
 		}
 		a.host.pool.abandon(c)
@@ -467,11 +467,11 @@
 		fasthttp.ReleaseResponse(resp)
 		resp = nil
 	}
-	var answer engine.Response
+	var answer dispatch.Response
 	if resp != nil {
 		answer = (*Response)(resp)
 	}
-	ok := a.End(status, answer)
+	ok := a.Finish(status, answer)
 	if ok {
 		a.host.pool.learn(c.rested, err != nil && !c.begun)
 	}
@@ -494,8 +494,8 @@
 type Head []byte
 
 // Neutral reads the head back, for upstreams that speak something else.
-func (h Head) Neutral() engine.Message {
-	var m engine.Message
+func (h Head) Neutral() dispatch.Message {
+	var m dispatch.Message
 	for i, line := range strings.Split(string(h), "\r\n") {
 		if i == 0 {
 			method, rest, _ := strings.Cut(line, " ")
@@ -509,15 +509,15 @@
 		case "x-request-id":
 			m.ID = value
 		case "idempotency-key":
-			m.Idempotency = value
+			m.IdempotencyKey = value
 		case "x-tenant":
 			m.Tenant = value
 		case "x-key":
-			m.Key = value
+			m.AffinityKey = value
 		case "content-type":
 			m.ContentType = value
 		case "x-retry":
-			m.Again = value == "1"
+			m.IsRetry = value == "1"
 		}
 	}
 	return m
@@ -525,19 +525,19 @@
 
 // headOf is the head of a request that came over another protocol. Its fields
 // were held against the protocol by their front: none has a line end.
-func headOf(m engine.Message, size int) Head {
+func headOf(m dispatch.Message, size int) Head {
 	b := make([]byte, 0, 512)
 	method := fasthttp.MethodPost
 	if m.Safe {
 		method = fasthttp.MethodGet
 	}
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: %s\r\n", method, m.Target, m.ID)
-	for _, f := range []struct{ name, value string }{{"Idempotency-Key", m.Idempotency}, {"X-Tenant", m.Tenant}, {"X-Key", m.Key}, {"Content-Type", m.ContentType}} {
+	for _, f := range []struct{ name, value string }{{"Idempotency-Key", m.IdempotencyKey}, {"X-Tenant", m.Tenant}, {"X-Key", m.AffinityKey}, {"Content-Type", m.ContentType}} {
 		if f.value != "" {
 			b = fmt.Appendf(b, "%s: %s\r\n", f.name, f.value)
 		}
 	}
-	if m.Again {
+	if m.IsRetry {
 		b = append(b, "X-Retry: 1\r\n"...)
 	}
 	if !m.Safe {
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -50,7 +50,7 @@
 		"internal/fleet/duty/list":  {"./internal/fleet/supervisor"},
 		"internal/coap/exchange":    {"./internal/coap/gate"},
 		"internal/coapfront":        {"./internal/sidecar"},
-		"internal/engine":           {"./internal/sidecar", "./internal/daemon"},
+		"internal/sidecar/dispatch": {"./internal/sidecar", "./internal/daemon"},
 		"internal/sidecar":          {"./internal/daemon"},
 		"internal/membership":       {"./internal/sidecar"},
 		"internal/handover":         {"./internal/daemon"},
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -10,9 +10,9 @@
 
 	"otterspring/balance"
 	"otterspring/internal/discovery"
-	"otterspring/internal/engine"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/lab/cost"
+	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
 )
 
@@ -36,15 +36,15 @@
 
 // capacityEngine is a sidecar's engine with its connection pool, as a start joins
 // them.
-func capacityEngine(b *testing.B, warmKeys bool) *engine.Engine {
+func capacityEngine(b *testing.B, warmKeys bool) *dispatch.Dispatcher {
 	b.Helper()
 	pool := httpupstream.New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 400)
-	eng, err := engine.New(engine.Settings{
+	eng, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{
 			MaxAttempts: 3, ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3, WarmKeys: warmKeys,
 			Classes: []balance.Class{{Name: "read", Deadline: time.Second}},
 		},
-		Dial: time.Second, Open: pool.Open,
+		DialTimeout: time.Second, OpenUpstream: pool.Open,
 	}, func() {})
 	if err != nil {
 		b.Fatal(err)
@@ -52,15 +52,15 @@
 	return eng
 }
 
-// capacityListed is an engine that was told a whole list.
-func capacityListed(b *testing.B, warmKeys bool, text []byte) *engine.Engine {
+// capacityListed is a dispatcher that was told a whole list.
+func capacityListed(b *testing.B, warmKeys bool, text []byte) *dispatch.Dispatcher {
 	b.Helper()
 	list, err := discovery.ParseText(text)
 	if err != nil {
 		b.Fatal(err)
 	}
 	eng := capacityEngine(b, warmKeys)
-	eng.Members(balance.ListFull, list, 0)
+	eng.UpdateEndpoints(balance.ListFull, list, 0)
 	return eng
 }
 
@@ -88,12 +88,12 @@
 					b.Fatal(err)
 				}
 				eng := capacityEngine(b, warmKeys)
-				eng.Members(balance.ListFull, list, 0)
+				eng.UpdateEndpoints(balance.ListFull, list, 0)
 				states := []balance.ServerState{balance.Draining, balance.Gone, balance.Ready}
 				cost.Loop(b, func(i int) {
-					entry := list.Entries[i/len(states)%servers]
-					entry.State, entry.Since = states[i%len(states)], int64(i)
-					eng.Members(balance.ListChange, engine.List{Index: int64(i + 2), Entries: []engine.Entry{entry}}, 0)
+					entry := list.Endpoints[i/len(states)%servers]
+					entry.State, entry.StartedMillis = states[i%len(states)], int64(i)
+					eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: int64(i + 2), Endpoints: []dispatch.Endpoint{entry}}, 0)
 				})
 			})
 		}
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -8,24 +8,24 @@
 
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/engine"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // ways is how upstreams are reached: by the scheme of their address, over HTTP/1.1
 // where there is none. Sockets for CoAP are of the upstreams' share, one a server.
-func ways(cfg *Config, o *operator.CoAP, http *httpupstream.Pool) (open func(string, int64) engine.Upstream, schemes []string, err error) {
+func ways(cfg *Config, o *operator.CoAP, http *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
 	if o == nil || !o.Servers {
-		for _, n := range cfg.Known.Entries {
-			if strings.HasPrefix(n.Addr, coapupstream.Scheme) {
-				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", n.ID, n.Addr)
+		for _, n := range cfg.Known.Endpoints {
+			if strings.HasPrefix(n.Address, coapupstream.Scheme) {
+				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", n.ID, n.Address)
 			}
 		}
 		return http.Open, nil, nil
 	}
 	coap := coapupstream.New(coapfront.ServersFromOperator(o, cfg.Seed), upstreamShare(cfg.Sockets)/2)
-	return func(addr string, since int64) engine.Upstream {
+	return func(addr string, since int64) dispatch.Upstream {
 		if rest, ok := strings.CutPrefix(addr, coapupstream.Scheme); ok {
 			return coap.Open(rest, since)
 		}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -16,7 +16,7 @@
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/discovery"
 	"otterspring/internal/disk"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 	Cores     float64
 	Memory    int // bytes
 	Sockets   int
-	Known     engine.List
+	Known     dispatch.EndpointList
 	Settings  balance.Settings
 	Conns     wire.Conns
 }
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // engineCounts are what the sidecar holds of requests, attempts and upstreams.
@@ -71,7 +71,7 @@
 	eventually(t, "no client is kept", s.front.Empty)
 
 	// An upstream that leaves takes its connections along.
-	s.eng.Members(balance.ListFull, engine.List{Full: true}, 0)
+	s.eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Snapshot: true}, 0)
 	eventually(t, "nothing is kept of an upstream that has gone", func() bool {
 		_, _, hosts := engineCounts(s)
 		return hosts == 0 && poolOpen(s) == 0 && up.live.Load() == 0
--- a/internal/engine/trace_test.go
+++ b/internal/sidecar/dispatch/trace_test.go
@@ -1,4 +1,4 @@
-package engine
+package dispatch
 
 import (
 	"cmp"
@@ -26,7 +26,7 @@
 
 func (u recordedUpstream) Retire() { *u.retired = append(*u.retired, u.name) }
 
-// What seeded random lists do to the upstreams, and the list that is held after each,
+// What seeded random lists do to the upstreams, and the merged list after each,
 // are the recorded ones.
 func TestListsDoWhatWasRecorded(t *testing.T) {
 	var trace strings.Builder
@@ -57,9 +57,9 @@
 func traceLists(t *testing.T, trace *strings.Builder, rng *rand.Rand) {
 	t.Helper()
 	var opened, retired []string
-	e, err := New(Settings{
+	dispatcher, err := New(Settings{
 		Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
-		Open: func(addr string, since int64) Upstream {
+		OpenUpstream: func(addr string, since int64) Upstream {
 			name := fmt.Sprintf("%s/%d", addr, since)
 			opened = append(opened, name)
 			return recordedUpstream{name: name, retired: &retired}
@@ -68,35 +68,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	index, moves := int64(0), 0
+	version, generation := int64(0), 0
 	for range 40 {
 		if rng.IntN(12) == 0 {
-			moves++
-			index = int64(rng.IntN(4))
+			generation++
+			version = int64(rng.IntN(4))
 		}
-		index += int64(rng.IntN(3))
-		l := List{Index: index, Full: rng.IntN(3) == 0}
+		version += int64(rng.IntN(3))
+		list := EndpointList{Version: version, Snapshot: rng.IntN(3) == 0}
 		kind := balance.ListChange
-		if l.Full {
+		if list.Snapshot {
 			kind = balance.ListFull
 		}
 		if rng.IntN(10) == 0 {
-			kind, l = balance.ListFailed, List{}
+			kind, list = balance.ListFailed, EndpointList{}
 		}
 		for i := range rng.IntN(5) {
-			l.Entries = append(l.Entries, Entry{
-				Server: balance.Server{ID: fmt.Sprint("s", (i*2+rng.IntN(2))%7), State: []balance.ServerState{balance.Ready, balance.Ready, balance.Draining, balance.Gone}[rng.IntN(4)]},
-				Addr:   fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2)), Since: int64(rng.IntN(3)),
+			list.Endpoints = append(list.Endpoints, Endpoint{
+				Server:  balance.Server{ID: fmt.Sprint("s", (i*2+rng.IntN(2))%7), State: []balance.ServerState{balance.Ready, balance.Ready, balance.Draining, balance.Gone}[rng.IntN(4)]},
+				Address: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2)), StartedMillis: int64(rng.IntN(3)),
 			})
 		}
 		opened, retired = nil, nil
-		e.Members(kind, l, moves)
-		held := e.List()
-		slices.SortFunc(held.Entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+		dispatcher.UpdateEndpoints(kind, list, generation)
+		merged := dispatcher.Endpoints()
+		slices.SortFunc(merged.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 		slices.Sort(retired)
-		fmt.Fprintf(trace, "%d moves %d: opened %v retired %v; version %d:", kind, moves, opened, retired, held.Index)
-		for _, n := range held.Entries {
-			fmt.Fprintf(trace, " %s %s %d state %d", n.ID, n.Addr, n.Since, n.State)
+		fmt.Fprintf(trace, "%d moves %d: opened %v retired %v; version %d:", kind, generation, opened, retired, merged.Version)
+		for _, endpoint := range merged.Endpoints {
+			fmt.Fprintf(trace, " %s %s %d state %d", endpoint.ID, endpoint.Address, endpoint.StartedMillis, endpoint.State)
 		}
 		trace.WriteString("\n")
 	}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -8,8 +8,8 @@
 	"otterspring/balance"
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/discovery"
-	"otterspring/internal/engine"
 	"otterspring/internal/httpfront"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 const (
@@ -109,7 +109,7 @@
 		if !handed && !now.Before(end) {
 			handed = true
 			_, unacked := s.coapOpen()
-			slog.Warn("drain: its time is over", "handed_back", s.eng.HandBack(), "answers_without_ack", unacked)
+			slog.Warn("drain: its time is over", "handed_back", s.eng.AnswerPending(), "answers_without_ack", unacked)
 		}
 		if now.After(end.Add(flushFor)) {
 			if n := s.front.Abandon(); n > 0 {
@@ -133,7 +133,7 @@
 
 // Held is the list as this process holds it, in discovery's form, for a process
 // that takes over.
-func (s *Sidecar) Held() []byte { return discovery.Text(s.eng.List()) }
+func (s *Sidecar) Held() []byte { return discovery.Text(s.eng.Endpoints()) }
 
 // Hear takes the list that the other process of a hand-over holds, if it is
 // newer than the own one: the versions are of the same discovery.
@@ -143,26 +143,26 @@
 		slog.Warn("handover: a list that can't be read", "why", err)
 		return
 	}
-	if index, moves := s.eng.Version(); l.Index > index {
-		s.eng.Members(balance.ListFull, l, moves)
+	if index, moves := s.eng.EndpointVersion(); l.Version > index {
+		s.eng.UpdateEndpoints(balance.ListFull, l, moves)
 	}
 }
 
 // OnList has every list that discovery tells from now on passed to f too, until
 // OffList or the next OnList.
 func (s *Sidecar) OnList(f func([]byte)) {
-	s.eng.OnList(func(l engine.List) { f(discovery.Text(l)) })
+	s.eng.OnEndpointUpdate(func(l dispatch.EndpointList) { f(discovery.Text(l)) })
 }
 
 // OffList ends OnList.
-func (s *Sidecar) OffList() { s.eng.OnList(nil) }
+func (s *Sidecar) OffList() { s.eng.OnEndpointUpdate(nil) }
 
 // Alive tells within the time given whether the decisions are still being made:
-// whether the engine's mutex is to be had.
+// whether the dispatcher's mutex is to be had.
 func (s *Sidecar) Alive(within time.Duration) bool {
 	got := make(chan struct{})
 	go func() {
-		s.eng.Alive()
+		s.eng.Barrier()
 		close(got)
 	}()
 	select {
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -48,10 +48,10 @@
 	line("limits.cores", c.Cores)
 	line("limits.memory_mb", c.Memory>>20)
 	line("limits.sockets", c.Sockets)
-	line("known.index", c.Known.Index)
-	line("known.snapshot", c.Known.Full)
-	for _, n := range c.Known.Entries {
-		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Addr, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.Since))
+	line("known.index", c.Known.Version)
+	line("known.snapshot", c.Known.Snapshot)
+	for _, n := range c.Known.Endpoints {
+		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Address, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.StartedMillis))
 	}
 	s := &c.Settings
 	line("settings.over-share-worth", s.OverShare)
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/balance"
-	"otterspring/internal/engine"
+	"otterspring/internal/sidecar/dispatch"
 )
 
 // These tests make rare orders happen every time, over real connections: a peer
@@ -151,8 +151,8 @@
 	one := startUpstream(t, func(c net.Conn, _ *http.Request, _ int64) bool { return reset(c) })
 	late := startLate(t, good)
 	s := startWith(t, []string{`"window-us":4000000`, `"window-us":600000`}, one.addr())
-	s.eng.Members(balance.ListChange, engine.List{Index: 10, Entries: []engine.Entry{
-		{Server: balance.Server{ID: "late", Zone: "a", Cell: 1}, Addr: late.addr()}}}, 0)
+	s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
+		{Server: balance.Server{ID: "late", Zone: "a", Cell: 1}, Address: late.addr()}}}, 0)
 	// Which of the two is tried first is chance: the late one alone proves nothing.
 	for began := time.Now(); one.seen.Load() == 0; {
 		if time.Since(began) > patience {
@@ -190,10 +190,10 @@
 	c := dialClient(t, s)
 	io.WriteString(c, readRequest(id))
 	late.dialled(t)
-	entry := func(addr string, state balance.ServerState) engine.Entry {
-		return engine.Entry{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Addr: addr}
+	entry := func(addr string, state balance.ServerState) dispatch.Endpoint {
+		return dispatch.Endpoint{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Address: addr}
 	}
-	s.eng.Members(balance.ListChange, engine.List{Index: 10, Entries: []engine.Entry{
+	s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		entry(late.addr(), balance.Draining), entry(other.addr(), balance.Ready)}}, 0)
 	late.let()
 	if r, body := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusOK || body != id {
@@ -393,7 +393,7 @@
 		drainWith(t, s, func() {
 			eventually(t, "the request", func() bool { calls, _, _ := s.eng.Counts(); return calls == 1 })
 		}, func() {
-			s.eng.Members(balance.ListChange, engine.List{Index: 10, Entries: []engine.Entry{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Addr: up.addr()}}}, 0)
+			s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Address: up.addr()}}}, 0)
 		})
 	})
 }
--- a/internal/sidecar/proxy_test.go
+++ b/internal/sidecar/proxy_test.go
@@ -101,7 +101,7 @@
 }
 
 func (s *Sidecar) hasVersion(index int64) func() bool {
-	return func() bool { n, _ := s.eng.Version(); return n == index }
+	return func() bool { n, _ := s.eng.EndpointVersion(); return n == index }
 }
 
 // A sidecar watches its host's proxy; discovery is watched only while that fails, and
@@ -138,7 +138,7 @@
 	eventually(t, "the drain", s.hasVersion(20))
 	proxy.set(func() { proxy.index, proxy.status, proxy.snapshotAlways = 15, "active", true })
 	eventually(t, "discovery is asked", func() bool { return discovery.calls() > 0 })
-	if index, _ := s.eng.Version(); index != 20 {
+	if index, _ := s.eng.EndpointVersion(); index != 20 {
 		t.Errorf("version %d after 20", index)
 	}
 	id := newID()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -19,10 +19,10 @@
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/discovery"
-	"otterspring/internal/engine"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/subscription"
 )
 
@@ -43,7 +43,7 @@
 
 // Sidecar is a running sidecar.
 type Sidecar struct {
-	eng   *engine.Engine
+	eng   *dispatch.Dispatcher
 	pool  *httpupstream.Pool
 	front *httpfront.Front
 	coap  *coapfront.Front // nil where it is off
@@ -64,7 +64,7 @@
 
 // listed is what /up says of the list: its version.
 func (s *Sidecar) listed() string {
-	index, _ := s.eng.Version()
+	index, _ := s.eng.EndpointVersion()
 	return strconv.FormatInt(index, 10)
 }
 
@@ -124,9 +124,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := discovery.New(cfg.Discovery, !cfg.Settings.Subscribe, cfg.Known.Index, schemes...)
+	d := discovery.New(cfg.Discovery, !cfg.Settings.Subscribe, cfg.Known.Version, schemes...)
 	d.UseProxy(opt.ListProxy, opt.ListSource, opt.FailoverDelay)
-	eng, err := engine.New(engine.Settings{Balance: cfg.Settings, Seed: cfg.Seed, Dial: cfg.Conns.Dial, Open: open}, d.Ask)
+	eng, err := dispatch.New(dispatch.Settings{Balance: cfg.Settings, Seed: cfg.Seed, DialTimeout: cfg.Conns.Dial, OpenUpstream: open}, d.Ask)
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 		Serve: serve, Refuse: refuse, Spare: cfg.Sockets / 6, Bodies: cfg.Memory / 8, Reloads: s.reloadCounts, Listed: s.listed,
 	}
 	if opt.Configuration != nil {
-		s.control = newControl(&cfg, opt.Configuration, eng.Change)
+		s.control = newControl(&cfg, opt.Configuration, eng.Reconfigure)
 		front.Configured = s.configured
 	}
 	s.front = httpfront.New(ln, eng, front)
@@ -158,7 +158,7 @@
 	} else if opt.Packets != nil {
 		opt.Packets.Close() // CoAP is off from here on
 	}
-	eng.Members(balance.ListSaved, cfg.Known, 0)
+	eng.UpdateEndpoints(balance.ListSaved, cfg.Known, 0)
 	if opt.Paused {
 		s.front.Pause()
 	}
