--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,12 +15,12 @@
 	"syscall"
 	"time"
 
-	"otterspring/internal/handover"
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 	"otterspring/internal/notify"
 	"otterspring/internal/operator"
 	"otterspring/internal/sidecar"
+	"otterspring/internal/sidecar/handover"
 )
 
 const usage = `usage: sandhinge [-operator FILE] [-log-format text|json] [-log-level LEVEL]
@@ -69,9 +69,9 @@
 	stop     chan os.Signal
 	settings operator.File
 	side     *sidecar.Sidecar
-	notify   *notify.Notifier // nil where it is off
-	offer    *handover.Offer  // nil where it is off
-	taking   *handover.Taking // the hand-over this process came by; nil after its end
+	notify   *notify.Notifier      // nil where it is off
+	offer    *handover.Offer       // nil where it is off
+	taking   *handover.Predecessor // the hand-over this process came by; nil after its end
 }
 
 // run starts, and serves until SIGTERM, SIGINT or a hand-over, and the drain
@@ -106,13 +106,13 @@
 	h := d.settings.Handover
 	var opt sidecar.Options
 	if h.Socket != "" {
-		t, err := handover.Take(h.Socket, cfg.Listen, h.Ready)
-		if err != nil && !errors.Is(err, handover.ErrNobody) {
+		t, err := handover.Request(h.Socket, cfg.Listen, h.Ready)
+		if err != nil && !errors.Is(err, handover.ErrNoPredecessor) {
 			return err
 		}
 		if t != nil {
 			d.taking = t
-			opt = sidecar.Options{Listener: t.Listener, Held: t.Held, Packets: t.Packets, Paused: true}
+			opt = sidecar.Options{Listener: t.Listener, Held: t.EndpointList, Packets: t.CoAPSocket, Paused: true}
 		}
 	}
 	if d.settings.CoAP.Listen != "" || d.settings.CoAP.Servers {
@@ -134,7 +134,7 @@
 		return nil
 	}
 	if d.taking != nil {
-		if err := d.taking.Ready(); err != nil {
+		if err := d.taking.AnnounceReady(); err != nil {
 			return err
 		}
 	}
@@ -146,13 +146,13 @@
 	}
 	if d.taking != nil {
 		s.Resume()
-		if err := d.taking.Taken(); err != nil {
+		if err := d.taking.AnnounceAccepting(); err != nil {
 			d.offer.Close()
 			s.Retire(nil) // what it has accepted by now
 			return err
 		}
 		slog.Info("handover: taken over", "listen", cfg.Listen)
-		s.OnList(d.taking.Tell)
+		s.OnList(d.taking.SendEndpointList)
 		go d.await(d.taking)
 	}
 	return nil
@@ -160,9 +160,9 @@
 
 // serve handles signals and hand-overs until the end.
 func (d *daemon) serve() error {
-	var given <-chan *handover.Giving
+	var given <-chan *handover.Successor
 	if d.offer != nil {
-		given = d.offer.Given()
+		given = d.offer.Successors()
 	}
 	for {
 		select {
@@ -187,8 +187,8 @@
 }
 
 // await hears what the old process is told, until that one ends.
-func (d *daemon) await(t *handover.Taking) {
-	t.Await(d.side.Hear, d.side.InheritCoAP)
+func (d *daemon) await(t *handover.Predecessor) {
+	t.AwaitDrained(d.side.Hear, d.side.InheritCoAP)
 	d.side.AloneOverCoAP()
 	d.side.OffList()
 }
@@ -204,21 +204,21 @@
 
 // giveAway drains for the process that has taken over. It returns false if that
 // one ended meanwhile and this one goes on.
-func (d *daemon) giveAway(g *handover.Giving) bool {
+func (d *daemon) giveAway(g *handover.Successor) bool {
 	slog.Info("handover: given to another process; draining")
 	d.settle()
 	d.offer.Close()
-	d.side.OnList(g.Tell)
-	g.Tell(d.side.Held()) // what came since it was given
+	d.side.OnList(g.SendEndpointList)
+	g.SendEndpointList(d.side.Held()) // what came since it was given
 	if table := d.side.GiveCoAP(); table != nil {
-		g.Coap(table)
+		g.SendCoAPState(table)
 	}
-	if d.side.Retire(g.Gone()) {
-		g.Done()
+	if d.side.Retire(g.Disconnected()) {
+		g.AnnounceDrained()
 		return true
 	}
 	d.side.OffList()
-	g.Drop()
+	g.Close()
 	slog.Warn("handover: the new process ended before this one had; this one goes on")
 	if err := d.offer.Open(); err != nil {
 		slog.Error("handover: no longer offered", "why", err)
--- /dev/null
+++ b/internal/sidecar/handover/descriptors.go
@@ -0,0 +1,131 @@
+package handover
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxDescriptors is how many descriptors of a message are received; only the first two
+// are used.
+const maxDescriptors = 4
+
+// receivedDescriptors returns the descriptors of control messages.
+func receivedDescriptors(controlMessages []byte) []int {
+	var descriptors []int
+	messages, err := unix.ParseSocketControlMessage(controlMessages)
+	if err != nil {
+		return nil
+	}
+	for i := range messages {
+		if rights, err := unix.ParseUnixRights(&messages[i]); err == nil {
+			descriptors = append(descriptors, rights...)
+		}
+	}
+	return descriptors
+}
+
+func closeDescriptors(descriptors []int) {
+	for _, fd := range descriptors {
+		_ = unix.Close(fd) // Linux closes it even where it reports an error
+	}
+}
+
+// listenerOf makes a listener of a received descriptor, if that is a TCP socket that
+// listens on the address. It owns the descriptor, also after an error.
+func listenerOf(fd int, address string) (*net.TCPListener, error) {
+	unix.CloseOnExec(fd)
+	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listening != 1 {
+		closeDescriptors([]int{fd})
+		return nil, errors.New("found a descriptor that does not listen, wanted a listener")
+	}
+	file := os.NewFile(uintptr(fd), "listener")
+	defer discard(file) // FileListener duplicates the descriptor
+	listener, err := net.FileListener(file)
+	if err != nil {
+		return nil, fmt.Errorf("descriptor of the listener: %w", err)
+	}
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok || tcp.Addr().String() != address {
+		listener.Close()
+		return nil, fmt.Errorf("found a listener on %s, wanted one on %s", listener.Addr(), address)
+	}
+	return tcp, nil
+}
+
+// packetConnOf makes a UDP socket of a received descriptor. It owns the descriptor,
+// also after an error.
+func packetConnOf(fd int) (*net.UDPConn, error) {
+	unix.CloseOnExec(fd)
+	file := os.NewFile(uintptr(fd), "packets")
+	defer discard(file) // FilePacketConn duplicates the descriptor
+	conn, err := net.FilePacketConn(file)
+	if err != nil {
+		return nil, fmt.Errorf("second descriptor: %w", err)
+	}
+	udp, ok := conn.(*net.UDPConn)
+	if !ok {
+		discard(conn)
+		return nil, errors.New("found a second descriptor that is no UDP socket, wanted one")
+	}
+	return udp, nil
+}
+
+// sendWithDescriptors sends a message with the descriptors of the listener and, unless
+// it is nil, of the CoAP socket. They are used in place: no other descriptor is needed,
+// so this works when the process has reached its limit.
+func sendWithDescriptors(conn *net.UnixConn, message []byte, listener *net.TCPListener, coapSocket *net.UDPConn) error {
+	rawListener, err := listener.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var sendErr error
+	send := func(descriptors ...int) {
+		_, _, sendErr = conn.WriteMsgUnix(message, unix.UnixRights(descriptors...), nil)
+	}
+	err = rawListener.Control(func(listenerFD uintptr) {
+		if coapSocket == nil {
+			send(int(listenerFD))
+			return
+		}
+		rawSocket, err := coapSocket.SyscallConn()
+		if err == nil {
+			err = rawSocket.Control(func(socketFD uintptr) { send(int(listenerFD), int(socketFD)) })
+		}
+		if err != nil {
+			sendErr = err
+		}
+	})
+	return errors.Join(err, sendErr)
+}
+
+// checkSameUser returns an error if the peer is a process of another user.
+func checkSameUser(conn *net.UnixConn) error {
+	credentials, err := peerCredentials(conn)
+	if err != nil {
+		return err
+	}
+	if int(credentials.Uid) != os.Getuid() {
+		return fmt.Errorf("found a process of user %d, wanted %d", credentials.Uid, os.Getuid())
+	}
+	return nil
+}
+
+// peerCredentials returns the process ID and user of the peer.
+func peerCredentials(conn *net.UnixConn) (*unix.Ucred, error) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return nil, err
+	}
+	var credentials *unix.Ucred
+	var credentialsErr error
+	if err := raw.Control(func(fd uintptr) {
+		credentials, credentialsErr = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	}); err != nil {
+		return nil, err
+	}
+	return credentials, credentialsErr
+}
