--- a/cmd/otterspring/check.go
+++ b/cmd/otterspring/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // checkCommand is `otterspring check`.
@@ -22,14 +22,14 @@
 	}
 }
 
-// check reads operators' files and says what is wrong with them.
+// validate reads operators' files and says what is wrong with them.
 func check(files []string, out io.Writer) error {
 	if len(files) == 0 {
 		return fmt.Errorf("%w: check: wanted a file", errUsage)
 	}
 	bad := false
 	for _, path := range files {
-		f, errs := operator.LoadAll(path)
+		f, errs := operatorconfig.LoadAll(path)
 		if len(errs) > 0 {
 			for _, err := range errs {
 				fmt.Fprintln(out, err)
@@ -38,7 +38,7 @@
 			continue
 		}
 		on := "everything is off"
-		if names := f.On(); len(names) > 0 {
+		if names := f.EnabledSections(); len(names) > 0 {
 			on = "on: " + strings.Join(names, ", ")
 		}
 		fmt.Fprintf(out, "%s: good; %s\n", path, on)
--- a/internal/coapfront/settings.go
+++ b/internal/coapfront/settings.go
@@ -10,8 +10,8 @@
 	"otterspring/internal/coap/caller"
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/gate"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 const (
@@ -27,7 +27,7 @@
 )
 
 // ServersFromOperator are the settings for call servers over CoAP.
-func ServersFromOperator(o *operator.CoAP, seed uint64) caller.Settings {
+func ServersFromOperator(o *operatorconfig.CoAP, seed uint64) caller.Settings {
 	p := exchange.Defaults()
 	p.AckTimeout = o.AckTimeout
 	p.AckAfter = p.AckTimeout / 4
@@ -39,7 +39,7 @@
 // FromOperator are the settings that the operator's file gives, for the classes
 // that the platform gives. deadlineTimes bounds a request's own deadline as a
 // multiple of its class's.
-func FromOperator(o *operator.CoAP, all []balance.Class, deadlineTimes float64, seed uint64, bodies *dispatch.Budget) Settings {
+func FromOperator(o *operatorconfig.CoAP, all []balance.Class, deadlineTimes float64, seed uint64, bodies *dispatch.Budget) Settings {
 	key := make([]byte, 32)
 	rand.Read(key) // it never fails
 	effects := map[balance.Effect]gate.Effect{balance.Repeat: gate.Repeat, balance.Keyed: gate.Keyed, balance.Once: gate.Once}
@@ -48,14 +48,14 @@
 		classes[c.Name] = gate.Class{Effect: effects[c.Effect], Deadline: c.Deadline}
 	}
 	var trusted []netip.Prefix
-	for _, n := range o.Trusted {
+	for _, n := range o.TrustedNetworks {
 		trusted = append(trusted, n.Prefix)
 	}
-	return Settings{Listen: o.Listen, Bodies: bodies, State: o.State, Gate: gate.Settings{
+	return Settings{Listen: o.Listen, Bodies: bodies, State: o.StatePath, Gate: gate.Settings{
 		Params:  exchange.Defaults(),
-		Limits:  exchange.Limits{Open: o.Open, Kept: o.Kept, KeptBytes: int(o.KeptBytes), Settled: o.Settled},
-		Blocks:  block.Limits{Transfers: o.Transfers, Body: dispatch.MaxBodySize, Bytes: int(o.TransferBytes), Idle: blockIdle, Size: 1024},
-		Classes: classes, DeadlineTimes: deadlineTimes, Observers: o.Observers, ObserveEvery: o.ObserveEvery,
-		Trusted: trusted, Clean: o.First, EchoKey: key, EchoAge: echoAge, Seed: seed ^ 0x636f6170,
+		Limits:  exchange.Limits{Open: o.MaxPendingRequests, Kept: o.MaxDedupEntries, KeptBytes: int(o.MaxDedupBytes), Settled: o.MaxCompletedUnsafe},
+		Blocks:  block.Limits{Transfers: o.MaxTransfers, Body: dispatch.MaxBodySize, Bytes: int(o.MaxTransferBytes), Idle: blockIdle, Size: 1024},
+		Classes: classes, DeadlineTimes: deadlineTimes, Observers: o.MaxObservers, ObserveEvery: o.ObserveInterval,
+		Trusted: trusted, Clean: o.FirstRun, EchoKey: key, EchoAge: echoAge, Seed: seed ^ 0x636f6170,
 	}}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,9 +18,9 @@
 	"otterspring/internal/inject"
 	"otterspring/internal/logs"
 	"otterspring/internal/notify"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar"
 	"otterspring/internal/sidecar/handover"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 const usage = `usage: sandhinge [-operator FILE] [-log-format text|json] [-log-level LEVEL]
@@ -67,7 +67,7 @@
 	path     string // of the operator's file
 	reload   chan os.Signal
 	stop     chan os.Signal
-	settings operator.File
+	settings operatorconfig.File
 	side     *sidecar.Sidecar
 	notify   *notify.Notifier      // nil where it is off
 	offer    *handover.Offer       // nil where it is off
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if d.settings, err = operator.Load(d.path); err != nil {
+	if d.settings, err = operatorconfig.Load(d.path); err != nil {
 		return err
 	}
 	if d.settings.Notify.Systemd {
@@ -106,7 +106,7 @@
 	h := d.settings.Handover
 	var opt sidecar.Options
 	if h.Socket != "" {
-		t, err := handover.Request(h.Socket, cfg.Listen, h.Ready)
+		t, err := handover.Request(h.Socket, cfg.Listen, h.StepTimeout)
 		if err != nil && !errors.Is(err, handover.ErrNoPredecessor) {
 			return err
 		}
@@ -115,13 +115,13 @@
 			opt = sidecar.Options{Listener: t.Listener, Held: t.EndpointList, Packets: t.CoAPSocket, Paused: true}
 		}
 	}
-	if d.settings.CoAP.Listen != "" || d.settings.CoAP.Servers {
+	if d.settings.CoAP.Listen != "" || d.settings.CoAP.Upstreams {
 		opt.CoAP = &d.settings.CoAP
 	}
 	if l := d.settings.List; l.Proxy != "" {
 		opt.ListProxy, opt.ListSource, opt.FailoverDelay = l.Proxy, l.Source, sidecar.FailoverDelay(cfg.Name, l.Jitter)
 	}
-	if d.settings.Configuration.On() {
+	if d.settings.Configuration.Enabled() {
 		opt.Configuration = &d.settings.Configuration
 	}
 	s, err := sidecar.StartWith(cfg, opt)
@@ -129,7 +129,7 @@
 		return err
 	}
 	d.side = s
-	s.SetFinish(d.settings.Drain.Finish)
+	s.SetFinish(d.settings.Drain.Timeout)
 	if h.Socket == "" {
 		return nil
 	}
@@ -141,7 +141,7 @@
 	// The path is this process's before the old one stops offering there: who
 	// comes in between finds one of the two. If it can't be had, nothing has been
 	// accepted yet, and the old one goes on.
-	if d.offer, err = handover.NewOffer(h.Socket, s, h.Ready); err != nil {
+	if d.offer, err = handover.NewOffer(h.Socket, s, h.StepTimeout); err != nil {
 		return err
 	}
 	if d.taking != nil {
@@ -236,18 +236,18 @@
 		d.side.NoteReload(false)
 		return
 	}
-	f, err := operator.Load(d.path)
+	f, err := operatorconfig.Load(d.path)
 	if err != nil {
 		slog.Error("reload: the old configuration and operator's file stay", "why", err)
 		d.side.NoteReload(false)
 		return
 	}
 	d.side.Reload(cfg)
-	if later := d.settings.WaitsForStart(&f); len(later) > 0 {
+	if later := d.settings.RestartRequired(&f); len(later) > 0 {
 		slog.Warn("reload: operator's file: changed but used from the next start on only", "keys", strings.Join(later, ", "))
 	}
 	d.settings.Drain = f.Drain
-	d.side.SetFinish(f.Drain.Finish)
+	d.side.SetFinish(f.Drain.Timeout)
 	d.side.NoteReload(true)
 }
 
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -53,7 +53,7 @@
 		"internal/sidecar/dispatch":   {"./internal/sidecar", "./internal/daemon"},
 		"internal/sidecar":            {"./internal/daemon"},
 		"internal/membership":         {"./internal/sidecar"},
-		"internal/sidecar/handover":           {"./internal/daemon"},
+		"internal/sidecar/handover":   {"./internal/daemon"},
 		"internal/lab/audit":          {"./internal/lab/standin/clients"},
 		"internal/fleet/supervisor":   {"./internal/lab/rig"},
 		"internal/fleet/lifecycle":    {"./internal/fleet/supervisor", "./internal/lab/rig"},
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -9,14 +9,14 @@
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpupstream"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // ways is how upstreams are reached: by the scheme of their address, over HTTP/1.1
 // where there is none. Sockets for CoAP are of the upstreams' share, one a server.
-func ways(cfg *Config, o *operator.CoAP, http *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
-	if o == nil || !o.Servers {
+func ways(cfg *Config, o *operatorconfig.CoAP, http *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
+	if o == nil || !o.Upstreams {
 		for _, n := range cfg.Known.Endpoints {
 			if strings.HasPrefix(n.Address, coapupstream.Scheme) {
 				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", n.ID, n.Address)
--- a/internal/sidecar/coap_test.go
+++ b/internal/sidecar/coap_test.go
@@ -19,7 +19,7 @@
 	"github.com/plgd-dev/go-coap/v3/udp"
 
 	own "otterspring/internal/coap/message"
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // startCoAP starts a sidecar that takes CoAP, too, and is the first of its life.
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := operator.Defaults().CoAP
-	o.Listen, o.First = "127.0.0.1:0", first
+	o := operatorconfig.Defaults().CoAP
+	o.Listen, o.FirstRun = "127.0.0.1:0", first
 	s, err := StartWith(cfg, Options{CoAP: &o})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
@@ -115,7 +115,7 @@
 	}
 	for _, opt := range []Options{
 		{},
-		{Configuration: &operator.Configuration{Region: "r", Relays: []string{silent.Addr().String()}, Services: []string{"s"}}},
+		{Configuration: &operatorconfig.Configuration{Region: "r", Relays: []string{silent.Addr().String()}, Services: []string{"s"}}},
 	} {
 		s, err := StartWith(cfg, opt)
 		if err != nil {
--- a/internal/sidecar/live.go
+++ b/internal/sidecar/live.go
@@ -9,7 +9,7 @@
 
 	"otterspring/balance"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
 )
 
@@ -23,12 +23,12 @@
 
 // newControl returns the client that follows the services of the operator's file and
 // has change put in force what they say.
-func newControl(cfg *Config, section *operator.Configuration, change func([]balance.Class, []balance.Tenant) error) *subscription.Client {
+func newControl(cfg *Config, section *operatorconfig.Configuration, change func([]balance.Class, []balance.Tenant) error) *subscription.Client {
 	live := &liveSettings{file: cfg.Settings, change: change}
 	for _, service := range section.Services {
 		live.services = append(live.services, serviceState{service: service})
 	}
-	name := section.Name
+	name := section.SubscriberName
 	if name == "" {
 		name = cfg.Name
 	}
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 const relayRegion = "north"
@@ -143,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := StartWith(cfg, Options{Configuration: &operator.Configuration{Region: relayRegion, Relays: relays, Services: []string{"orders", "stock"}}})
+	s, err := StartWith(cfg, Options{Configuration: &operatorconfig.Configuration{Region: relayRegion, Relays: relays, Services: []string{"orders", "stock"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/configuration.go
+++ b/internal/sidecar/operatorconfig/configuration.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"fmt"
@@ -23,24 +23,24 @@
 	Relays []string `toml:"relays" max:"16"`
 	// Services are the names of the resources that are followed.
 	Services []string `toml:"services"`
-	// Name is that of the subscriber, its own within the region; empty takes the name
+	// SubscriberName is that of the subscriber, its own within the region; empty takes the name
 	// in the platform's configuration.
-	Name string `toml:"name"`
+	SubscriberName string `toml:"name"`
 }
 
-// On tells whether anything of the section was given.
-func (c *Configuration) On() bool {
-	return c.Region != "" || c.Name != "" || len(c.Relays) > 0 || len(c.Services) > 0
+// EnabledSections tells whether anything of the section was given.
+func (c *Configuration) Enabled() bool {
+	return c.Region != "" || c.SubscriberName != "" || len(c.Relays) > 0 || len(c.Services) > 0
 }
 
 // validate says what is wrong with the section where it is on.
-func (c *Configuration) check(say func(key, found, wanted string)) {
-	if !c.On() {
+func (c *Configuration) validate(say func(key, found, wanted string)) {
+	if !c.Enabled() {
 		return
 	}
 	c.checkName(say, "configuration.region", c.Region)
-	if c.Name != "" {
-		c.checkName(say, "configuration.name", c.Name)
+	if c.SubscriberName != "" {
+		c.checkName(say, "configuration.name", c.SubscriberName)
 	}
 	c.checkRelays(say)
 	c.checkServices(say)
--- a/internal/operator/configuration_test.go
+++ b/internal/sidecar/operatorconfig/configuration_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"fmt"
@@ -34,15 +34,15 @@
 func TestConfigurationIsReadAndWaitsForAStart(t *testing.T) {
 	for _, text := range []string{section(), section("name", `"n1"`), section("services", names(512))} {
 		f, err := Load(write(t, text))
-		if err != nil || strings.Join(f.On(), " ") != "configuration" {
-			t.Fatalf("%.200q: found %v on and %v, wanted configuration", text, f.On(), err)
+		if err != nil || strings.Join(f.EnabledSections(), " ") != "configuration" {
+			t.Fatalf("%.200q: found %v on and %v, wanted configuration", text, f.EnabledSections(), err)
 		}
 		off := Defaults()
-		if later := strings.Join(f.WaitsForStart(&off), " "); later != "configuration" {
+		if later := strings.Join(f.RestartRequired(&off), " "); later != "configuration" {
 			t.Errorf("waits for a start: found %q, wanted configuration", later)
 		}
 		same := f
-		if later := f.WaitsForStart(&same); len(later) > 0 {
+		if later := f.RestartRequired(&same); len(later) > 0 {
 			t.Errorf("waits for a start: found %q for the same file, wanted none", later)
 		}
 	}
--- a/internal/operator/keys_test.go
+++ b/internal/sidecar/operatorconfig/keys_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"net/netip"
@@ -22,16 +22,16 @@
 		t.Fatal(err)
 	}
 	want := File{
-		Drain:    Drain{Finish: 4 * time.Second},
-		Handover: Handover{Socket: "/run/n1.sock", Ready: 7 * time.Second},
+		Drain:    Drain{Timeout: 4 * time.Second},
+		Handover: Handover{Socket: "/run/n1.sock", StepTimeout: 7 * time.Second},
 		Notify:   Notify{Systemd: true},
 		CoAP: CoAP{
-			Listen: "10.0.0.4:5683", Open: 100, Kept: 200, KeptBytes: 2 << 20, Settled: 300, Transfers: 40, TransferBytes: 3 << 20,
-			Observers: 50, ObserveEvery: 6 * time.Second, Trusted: []Network{{netip.MustParsePrefix("10.1.0.0/16")}, {netip.MustParsePrefix("fd00::/8")}},
-			Servers: true, AckTimeout: 3 * time.Second, State: "/var/lib/n1.coap",
+			Listen: "10.0.0.4:5683", MaxPendingRequests: 100, MaxDedupEntries: 200, MaxDedupBytes: 2 << 20, MaxCompletedUnsafe: 300, MaxTransfers: 40, MaxTransferBytes: 3 << 20,
+			MaxObservers: 50, ObserveInterval: 6 * time.Second, TrustedNetworks: []Network{{netip.MustParsePrefix("10.1.0.0/16")}, {netip.MustParsePrefix("fd00::/8")}},
+			Upstreams: true, AckTimeout: 3 * time.Second, StatePath: "/var/lib/n1.coap",
 		},
 		List:          List{Proxy: "127.0.0.1:7300", Source: "d2", Jitter: 9 * time.Second},
-		Configuration: Configuration{Region: "north", Relays: []string{"10.0.0.1:7400", "10.0.0.2:7400"}, Services: []string{"orders", "stock"}, Name: "n1"},
+		Configuration: Configuration{Region: "north", Relays: []string{"10.0.0.1:7400", "10.0.0.2:7400"}, Services: []string{"orders", "stock"}, SubscriberName: "n1"},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, wanted %+v", got, want)
--- a/internal/operator/operator.go
+++ b/internal/sidecar/operatorconfig/operatorconfig.go
@@ -4,7 +4,7 @@
 //
 // Each section is a struct of its own with the defaults that hold once the
 // section is there; docs/operate has a page for each.
-package operator
+package operatorconfig
 
 import (
 	"errors"
@@ -51,10 +51,10 @@
 // Drain bounds the end of an instance. Used from the next drain on, so a reload
 // brings it in.
 type Drain struct {
-	// Finish is how long after the signal requests may still be finished; what
+	// Timeout is how long after the signal requests may still be finished; what
 	// is open then is handed back. 0 takes the longest deadline of the classes
 	// and the time in which connections still come.
-	Finish time.Duration `toml:"finish" min:"1s" max:"10m"`
+	Timeout time.Duration `toml:"finish" min:"1s" max:"10m"`
 }
 
 // Handover lets a new process take the listening socket over from this one.
@@ -63,9 +63,9 @@
 	// Socket is the path of the Unix socket on which an instance offers its
 	// listener and asks for that of the one before it. Empty: off.
 	Socket string `toml:"socket"`
-	// Ready is how long the new process may take from its first word until it
+	// StepTimeout is how long the new process may take from its first word until it
 	// is ready; after that the old one goes on alone.
-	Ready time.Duration `toml:"ready_within" min:"100ms" max:"5m"`
+	StepTimeout time.Duration `toml:"ready_within" min:"100ms" max:"5m"`
 }
 
 // Notify tells a supervisor of the states of the program, as systemd does it.
@@ -79,37 +79,37 @@
 type CoAP struct {
 	// Listen is an address of one machine and a port, over UDP. Empty: off.
 	Listen string `toml:"listen"`
-	// Open bounds the requests without an answer, Kept those that are remembered
+	// MaxPendingRequests bounds the requests without an answer, Kept those that are remembered
 	// whole against repeats (for 247 s at most, some 360 bytes beside the answer),
-	// KeptBytes the answers remembered with them.
-	Open      int             `toml:"open" min:"8" max:"4096"`
-	Kept      int             `toml:"kept" min:"64" max:"262144"`
-	KeptBytes strictfile.Size `toml:"kept_bytes" min:"0B" max:"64MiB"`
-	// Settled bounds the unsafe ones beyond them, some 40 bytes each: the most that
+	// MaxDedupBytes the answers remembered with them.
+	MaxPendingRequests int             `toml:"open" min:"8" max:"4096"`
+	MaxDedupEntries    int             `toml:"kept" min:"64" max:"262144"`
+	MaxDedupBytes      strictfile.Size `toml:"kept_bytes" min:"0B" max:"64MiB"`
+	// MaxCompletedUnsafe bounds the unsafe ones beyond them, some 40 bytes each: the most that
 	// may come in 247 s.
-	Settled int `toml:"settled" min:"0" max:"4194304"`
-	// Transfers bounds the bodies that come and go in blocks, TransferBytes all of
+	MaxCompletedUnsafe int `toml:"settled" min:"0" max:"4194304"`
+	// MaxTransfers bounds the bodies that come and go in blocks, MaxTransferBytes all of
 	// them together, in each direction.
-	Transfers     int             `toml:"transfers" min:"1" max:"1024"`
-	TransferBytes strictfile.Size `toml:"transfer_bytes" min:"64KiB" max:"64MiB"`
-	// Observers bounds the observations, 0 for none; what is observed is asked for
-	// anew every ObserveEvery.
-	Observers    int           `toml:"observers" min:"0" max:"4096"`
-	ObserveEvery time.Duration `toml:"observe_every" min:"100ms" max:"10m"`
-	// Trusted are networks whose source addresses can't be forged. All others get
+	MaxTransfers     int             `toml:"transfers" min:"1" max:"1024"`
+	MaxTransferBytes strictfile.Size `toml:"transfer_bytes" min:"64KiB" max:"64MiB"`
+	// MaxObservers bounds the observations, 0 for none; what is observed is asked for
+	// anew every ObserveInterval.
+	MaxObservers    int           `toml:"observers" min:"0" max:"4096"`
+	ObserveInterval time.Duration `toml:"observe_every" min:"100ms" max:"10m"`
+	// TrustedNetworks are networks whose source addresses can't be forged. All others get
 	// three times their bytes at most until they have proven theirs.
-	Trusted []Network `toml:"trusted" max:"64"`
-	// Servers uses call servers whose address in the list begins with coap://. They
+	TrustedNetworks []Network `toml:"trusted" max:"64"`
+	// Upstreams uses call servers whose address in the list begins with coap://. They
 	// are sent a confirmable message again AckTimeout to 1.5 times that after it,
 	// up to four times (RFC 7252, section 4.8).
-	Servers    bool          `toml:"servers"`
+	Upstreams  bool          `toml:"servers"`
 	AckTimeout time.Duration `toml:"ack_timeout" min:"20ms" max:"10s"`
-	// State is a file that lasts over processes, in which one leaves at its end what
+	// StatePath is a file that lasts over processes, in which one leaves at its end what
 	// the next has to know. Where it is not there, no process ran before.
-	State string `toml:"state"`
-	// First says that no process ran here before this one: unsafe requests run from
+	StatePath string `toml:"state"`
+	// FirstRun says that no process ran here before this one: unsafe requests run from
 	// the first moment. Otherwise those without an Echo fail for the first 247 s.
-	First bool `toml:"first"`
+	FirstRun bool `toml:"first"`
 }
 
 // Network is an address prefix, "10.1.0.0/16".
@@ -127,9 +127,9 @@
 
 // Defaults returns what holds without a file: everything is off.
 func Defaults() File {
-	return File{Handover: Handover{Ready: 10 * time.Second}, List: List{Source: "discovery", Jitter: 2 * time.Second}, CoAP: CoAP{
-		Open: 256, Kept: 4096, KeptBytes: 1 << 20, Settled: 65536, Transfers: 16, TransferBytes: 1 << 20, Observers: 64, ObserveEvery: 2 * time.Second, AckTimeout: 2 * time.Second,
-		Trusted: []Network{{netip.MustParsePrefix("127.0.0.0/8")}, {netip.MustParsePrefix("::1/128")}},
+	return File{Handover: Handover{StepTimeout: 10 * time.Second}, List: List{Source: "discovery", Jitter: 2 * time.Second}, CoAP: CoAP{
+		MaxPendingRequests: 256, MaxDedupEntries: 4096, MaxDedupBytes: 1 << 20, MaxCompletedUnsafe: 65536, MaxTransfers: 16, MaxTransferBytes: 1 << 20, MaxObservers: 64, ObserveInterval: 2 * time.Second, AckTimeout: 2 * time.Second,
+		TrustedNetworks: []Network{{netip.MustParsePrefix("127.0.0.0/8")}, {netip.MustParsePrefix("::1/128")}},
 	}}
 }
 
@@ -156,7 +156,7 @@
 	}
 	lines, bad := strictfile.DecodeAll(path, text, &f)
 	if len(bad) == 0 {
-		bad = f.check(path, lines)
+		bad = f.validate(path, lines)
 	}
 	if len(bad) == 0 {
 		return f, nil
@@ -168,8 +168,8 @@
 	return Defaults(), errs
 }
 
-// check holds against each other what no single value shows.
-func (f *File) check(path string, lines strictfile.Lines) (errs []*strictfile.Error) {
+// validate holds against each other what no single value shows.
+func (f *File) validate(path string, lines strictfile.Lines) (errs []*strictfile.Error) {
 	say := func(key, found, wanted string) {
 		errs = append(errs, &strictfile.Error{File: path, Line: lines[key], Key: key, Found: found, Wanted: wanted})
 	}
@@ -186,7 +186,7 @@
 			say("list.near", strconv.Quote(proxy), "an IP address and a port")
 		}
 	}
-	f.Configuration.check(say)
+	f.Configuration.validate(say)
 	c := &f.CoAP
 	if c.Listen == "" {
 		return errs
@@ -194,22 +194,22 @@
 	if a, err := netip.ParseAddrPort(c.Listen); err != nil || a.Addr().IsMulticast() || a.Addr().IsUnspecified() {
 		say("coap.listen", fmt.Sprintf("%q", c.Listen), "one machine's IP address and a port")
 	}
-	if c.Kept < c.Open {
-		say("coap.kept", strconv.Itoa(c.Kept), fmt.Sprintf("%d (coap.open) or more", c.Open))
+	if c.MaxDedupEntries < c.MaxPendingRequests {
+		say("coap.kept", strconv.Itoa(c.MaxDedupEntries), fmt.Sprintf("%d (coap.open) or more", c.MaxPendingRequests))
 	}
-	if c.State != "" && !strings.HasPrefix(c.State, "/") {
-		say("coap.state", strconv.Quote(c.State), "an absolute path")
+	if c.StatePath != "" && !strings.HasPrefix(c.StatePath, "/") {
+		say("coap.state", strconv.Quote(c.StatePath), "an absolute path")
 	}
-	if c.State != "" && c.First {
+	if c.StatePath != "" && c.FirstRun {
 		say("coap.first", "it beside coap.state", "one of them")
 	}
 	return errs
 }
 
-// On names the sections that are switched on.
-func (f *File) On() []string {
+// EnabledSections names the sections that are switched on.
+func (f *File) EnabledSections() []string {
 	var on []string
-	if f.Drain.Finish > 0 {
+	if f.Drain.Timeout > 0 {
 		on = append(on, "drain")
 	}
 	if f.Handover.Socket != "" {
@@ -218,21 +218,21 @@
 	if f.Notify.Systemd {
 		on = append(on, "notify")
 	}
-	if f.CoAP.Listen != "" || f.CoAP.Servers {
+	if f.CoAP.Listen != "" || f.CoAP.Upstreams {
 		on = append(on, "coap")
 	}
 	if f.List.Proxy != "" {
 		on = append(on, "list")
 	}
-	if f.Configuration.On() {
+	if f.Configuration.Enabled() {
 		on = append(on, "configuration")
 	}
 	return on
 }
 
-// WaitsForStart names the sections that differ and that a running program does
+// RestartRequired names the sections that differ and that a running program does
 // not take from a reload.
-func (f *File) WaitsForStart(n *File) []string {
+func (f *File) RestartRequired(n *File) []string {
 	var names []string
 	if !reflect.DeepEqual(f.Handover, n.Handover) {
 		names = append(names, "handover")
--- a/internal/operator/operator_test.go
+++ b/internal/sidecar/operatorconfig/operatorconfig_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"os"
@@ -19,11 +19,11 @@
 
 func TestNoFileMeansOff(t *testing.T) {
 	f, err := Load("")
-	if err != nil || len(f.On()) != 0 {
-		t.Errorf("on: %v, %v", f.On(), err)
+	if err != nil || len(f.EnabledSections()) != 0 {
+		t.Errorf("on: %v, %v", f.EnabledSections(), err)
 	}
-	if f, err = Load(write(t, "")); err != nil || len(f.On()) != 0 {
-		t.Errorf("an empty file: on: %v, %v", f.On(), err)
+	if f, err = Load(write(t, "")); err != nil || len(f.EnabledSections()) != 0 {
+		t.Errorf("an empty file: on: %v, %v", f.EnabledSections(), err)
 	}
 }
 
@@ -32,19 +32,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(f.On(), " "); got != "drain handover notify" {
+	if got := strings.Join(f.EnabledSections(), " "); got != "drain handover notify" {
 		t.Errorf("on: %s", got)
 	}
-	if f.Drain.Finish != 4*time.Second || f.Handover.Ready != 10*time.Second {
+	if f.Drain.Timeout != 4*time.Second || f.Handover.StepTimeout != 10*time.Second {
 		t.Errorf("read %+v", f)
 	}
 	n := f
-	n.Drain.Finish = time.Second
-	if later := f.WaitsForStart(&n); len(later) != 0 {
+	n.Drain.Timeout = time.Second
+	if later := f.RestartRequired(&n); len(later) != 0 {
 		t.Errorf("the drain waits for a start: %v", later)
 	}
 	n.Handover.Socket, n.Notify.Systemd = "/run/other.sock", false
-	if later := strings.Join(f.WaitsForStart(&n), " "); later != "handover notify" {
+	if later := strings.Join(f.RestartRequired(&n), " "); later != "handover notify" {
 		t.Errorf("waits: %s", later)
 	}
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,8 +21,8 @@
 	"otterspring/internal/discovery"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
 )
 
@@ -86,7 +86,7 @@
 	// takes the place of the configuration's, which is older.
 	Held []byte
 	// CoAP is what the operator's file says of clients over CoAP; nil for none.
-	CoAP *operator.CoAP
+	CoAP *operatorconfig.CoAP
 	// Packets is the socket for CoAP of the process before; nil to listen anew.
 	Packets *net.UDPConn
 	// ListProxy is a local proxy that relays the list of the discovery ListSource, and
@@ -96,7 +96,7 @@
 	FailoverDelay         time.Duration
 	// Configuration is what the operator's file says of the configuration of services;
 	// nil for none. It begins with cfg's settings, whatever the process before had.
-	Configuration *operator.Configuration
+	Configuration *operatorconfig.Configuration
 	// Paused starts without accepting, until Resume.
 	Paused bool
 }
