--- a/internal/sidecar/operatorconfig/configuration.go
+++ b/internal/sidecar/operatorconfig/configuration.go
@@ -8,79 +8,79 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// minRelays is how many relays are wanted: with one, its end would cut the sidecar off
-// from changes.
+// minRelays is how many relays are wanted: with one, the sidecar would get no changes
+// once that has failed.
 const minRelays = 2
 
-// Configuration follows the settings of services at the relays of this zone
-// (docs/operate/configuration.md). It is read at the start; a reload leaves it as it
-// is. A process that takes over from another begins with the settings of its own file,
-// whatever the other had in force, and asks for a snapshot.
+// Configuration subscribes to the settings of services at the relays of this zone
+// (docs/operate/configuration.md). It is read at the start; a reload does not change
+// it. After a handover the new process begins with the settings of its platform
+// configuration, whatever its predecessor had applied, and requests a snapshot.
 type Configuration struct {
-	// Region is the name of the council whose configuration is followed.
+	// Region names the coordination cluster whose configuration is subscribed to.
 	Region string `toml:"region"`
 	// Relays are addresses, the nearest first. Empty: off.
 	Relays []string `toml:"relays" max:"16"`
-	// Services are the names of the resources that are followed.
+	// Services are the names of the resources that are subscribed to.
 	Services []string `toml:"services"`
-	// SubscriberName is that of the subscriber, its own within the region; empty takes the name
-	// in the platform's configuration.
+	// SubscriberName is unique in the region; empty takes the name in the platform's
+	// configuration.
 	SubscriberName string `toml:"name"`
 }
 
-// EnabledSections tells whether anything of the section was given.
+// Enabled reports whether anything of the section was given.
 func (c *Configuration) Enabled() bool {
 	return c.Region != "" || c.SubscriberName != "" || len(c.Relays) > 0 || len(c.Services) > 0
 }
 
-// validate says what is wrong with the section where it is on.
-func (c *Configuration) validate(say func(key, found, wanted string)) {
+// validate checks the section where it is enabled.
+func (c *Configuration) validate(report reportFunc) {
 	if !c.Enabled() {
 		return
 	}
-	c.checkName(say, "configuration.region", c.Region)
+	validateName(report, "configuration.region", c.Region)
 	if c.SubscriberName != "" {
-		c.checkName(say, "configuration.name", c.SubscriberName)
+		validateName(report, "configuration.name", c.SubscriberName)
 	}
-	c.checkRelays(say)
-	c.checkServices(say)
+	c.validateRelays(report)
+	c.validateServices(report)
 }
 
-func (c *Configuration) checkName(say func(key, found, wanted string), key, name string) {
+func validateName(report reportFunc, key, name string) {
 	if configuration.ValidateName(key, name) != nil {
-		say(key, fmt.Sprintf("%.80q", name), fmt.Sprintf("1 to %d printable bytes without blanks", configuration.MaxNameBytes))
+		report(key, fmt.Sprintf("%.80q", name), fmt.Sprintf("1 to %d printable bytes without blanks", configuration.MaxNameBytes))
 	}
 }
 
-func (c *Configuration) checkRelays(say func(key, found, wanted string)) {
+func (c *Configuration) validateRelays(report reportFunc) {
 	const key = "configuration.relays"
 	if len(c.Relays) < minRelays {
-		say(key, fmt.Sprintf("%d addresses", len(c.Relays)), fmt.Sprintf("%d or more", minRelays))
+		report(key, fmt.Sprintf("%d addresses", len(c.Relays)), fmt.Sprintf("%d or more", minRelays))
 	}
 	seen := map[netip.AddrPort]bool{}
 	for i, text := range c.Relays {
-		at := fmt.Sprintf("%s[%d]", key, i+1)
+		entryKey := fmt.Sprintf("%s[%d]", key, i+1)
 		address, ok := parseAddress(text)
 		if !ok {
-			say(at, strconv.Quote(text), "an IP address and a port")
+			report(entryKey, strconv.Quote(text), "an IP address and a port")
 		} else if seen[address] {
-			say(at, strconv.Quote(text)+" twice", "each address once")
+			report(entryKey, strconv.Quote(text)+" twice", "each address once")
 		}
 		seen[address] = true
 	}
 }
 
-func (c *Configuration) checkServices(say func(key, found, wanted string)) {
+func (c *Configuration) validateServices(report reportFunc) {
 	const key = "configuration.services"
 	if n := len(c.Services); n == 0 || n > configuration.MaxServices {
-		say(key, fmt.Sprintf("%d names", n), fmt.Sprintf("1 to %d", configuration.MaxServices))
+		report(key, fmt.Sprintf("%d names", n), fmt.Sprintf("1 to %d", configuration.MaxServices))
 	}
 	seen := map[string]bool{}
 	for i, service := range c.Services {
-		at := fmt.Sprintf("%s[%d]", key, i+1)
-		c.checkName(say, at, service)
+		entryKey := fmt.Sprintf("%s[%d]", key, i+1)
+		validateName(report, entryKey, service)
 		if seen[service] {
-			say(at, strconv.Quote(service)+" twice", "each name once")
+			report(entryKey, strconv.Quote(service)+" twice", "each name once")
 		}
 		seen[service] = true
 	}
--- a/internal/sidecar/operatorconfig/configuration_test.go
+++ b/internal/sidecar/operatorconfig/configuration_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// section is a [configuration] that is good but for what a test changes: pairs of a
-// key and its value, "" to leave it out.
+// section is a valid [configuration] with changes: pairs of a key and its value, "" to
+// omit it.
 func section(changes ...string) string {
 	values := map[string]string{"region": `"north"`, "relays": `["127.0.0.1:7400", "127.0.0.1:7401"]`, "services": `["orders"]`}
 	for i := 0; i < len(changes); i += 2 {
@@ -31,19 +31,19 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-func TestConfigurationIsReadAndWaitsForAStart(t *testing.T) {
+func TestConfigurationRequiresARestart(t *testing.T) {
 	for _, text := range []string{section(), section("name", `"n1"`), section("services", names(512))} {
 		f, err := Load(write(t, text))
 		if err != nil || strings.Join(f.EnabledSections(), " ") != "configuration" {
-			t.Fatalf("%.200q: found %v on and %v, wanted configuration", text, f.EnabledSections(), err)
+			t.Fatalf("%.200q: found %v enabled and %v, wanted configuration", text, f.EnabledSections(), err)
 		}
 		off := Defaults()
-		if later := strings.Join(f.RestartRequired(&off), " "); later != "configuration" {
-			t.Errorf("waits for a start: found %q, wanted configuration", later)
+		if sections := strings.Join(f.RestartRequired(&off), " "); sections != "configuration" {
+			t.Errorf("require a restart: found %q, wanted configuration", sections)
 		}
 		same := f
-		if later := f.RestartRequired(&same); len(later) > 0 {
-			t.Errorf("waits for a start: found %q for the same file, wanted none", later)
+		if sections := f.RestartRequired(&same); len(sections) > 0 {
+			t.Errorf("require a restart: found %q for the same file, wanted none", sections)
 		}
 	}
 }
--- /dev/null
+++ b/internal/sidecar/operatorconfig/load.go
@@ -0,0 +1,57 @@
+package operatorconfig
+
+import (
+	"net/netip"
+	"time"
+
+	"otterspring/internal/strictfile"
+)
+
+// Defaults returns what applies without a file: every section is off.
+func Defaults() File {
+	return File{
+		Handover: Handover{StepTimeout: 10 * time.Second},
+		List:     List{Source: "discovery", Jitter: 2 * time.Second},
+		CoAP: CoAP{
+			MaxPendingRequests: 256, MaxDedupEntries: 4096, MaxDedupBytes: 1 << 20, MaxCompletedUnsafe: 65536,
+			MaxTransfers: 16, MaxTransferBytes: 1 << 20, MaxObservers: 64, ObserveInterval: 2 * time.Second,
+			AckTimeout:      2 * time.Second,
+			TrustedNetworks: []Network{{netip.MustParsePrefix("127.0.0.0/8")}, {netip.MustParsePrefix("::1/128")}},
+		},
+	}
+}
+
+// Load reads the file at path; an empty path means no file. Its error is the first of
+// those of LoadAll.
+func Load(path string) (File, error) {
+	file, errs := LoadAll(path)
+	if len(errs) > 0 {
+		return file, errs[0]
+	}
+	return file, nil
+}
+
+// LoadAll reads the file at path and returns every fault, with its place; the file has
+// the defaults then.
+func LoadAll(path string) (File, []error) {
+	file := Defaults()
+	if path == "" {
+		return file, nil
+	}
+	text, err := strictfile.Read(path)
+	if err != nil {
+		return file, []error{err}
+	}
+	lines, faults := strictfile.DecodeAll(path, text, &file)
+	if len(faults) == 0 {
+		faults = file.validate(path, lines)
+	}
+	if len(faults) == 0 {
+		return file, nil
+	}
+	errs := make([]error, 0, len(faults))
+	for _, fault := range faults {
+		errs = append(errs, fault)
+	}
+	return Defaults(), errs
+}
--- a/internal/sidecar/operatorconfig/operatorconfig_test.go
+++ b/internal/sidecar/operatorconfig/operatorconfig_test.go
@@ -20,10 +20,10 @@
 func TestNoFileMeansOff(t *testing.T) {
 	f, err := Load("")
 	if err != nil || len(f.EnabledSections()) != 0 {
-		t.Errorf("on: %v, %v", f.EnabledSections(), err)
+		t.Errorf("enabled: %v, %v", f.EnabledSections(), err)
 	}
 	if f, err = Load(write(t, "")); err != nil || len(f.EnabledSections()) != 0 {
-		t.Errorf("an empty file: on: %v, %v", f.EnabledSections(), err)
+		t.Errorf("an empty file: enabled: %v, %v", f.EnabledSections(), err)
 	}
 }
 
@@ -33,19 +33,19 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(f.EnabledSections(), " "); got != "drain handover notify" {
-		t.Errorf("on: %s", got)
+		t.Errorf("enabled: %s", got)
 	}
 	if f.Drain.Timeout != 4*time.Second || f.Handover.StepTimeout != 10*time.Second {
 		t.Errorf("read %+v", f)
 	}
-	n := f
-	n.Drain.Timeout = time.Second
-	if later := f.RestartRequired(&n); len(later) != 0 {
-		t.Errorf("the drain waits for a start: %v", later)
+	newer := f
+	newer.Drain.Timeout = time.Second
+	if sections := f.RestartRequired(&newer); len(sections) != 0 {
+		t.Errorf("the drain requires a restart: %v", sections)
 	}
-	n.Handover.Socket, n.Notify.Systemd = "/run/other.sock", false
-	if later := strings.Join(f.RestartRequired(&n), " "); later != "handover notify" {
-		t.Errorf("waits: %s", later)
+	newer.Handover.Socket, newer.Notify.Systemd = "/run/other.sock", false
+	if sections := strings.Join(f.RestartRequired(&newer), " "); sections != "handover notify" {
+		t.Errorf("require a restart: %s", sections)
 	}
 }
 
--- /dev/null
+++ b/internal/sidecar/operatorconfig/sections.go
@@ -0,0 +1,55 @@
+package operatorconfig
+
+import "reflect"
+
+// The names of the sections, as in the file.
+const (
+	sectionDrain         = "drain"
+	sectionHandover      = "handover"
+	sectionNotify        = "notify"
+	sectionCoAP          = "coap"
+	sectionList          = "list"
+	sectionConfiguration = "configuration"
+)
+
+// EnabledSections names the sections that are on, in the order of File.
+func (f *File) EnabledSections() []string {
+	var names []string
+	for _, section := range []struct {
+		name    string
+		enabled bool
+	}{
+		{sectionDrain, f.Drain.Timeout > 0},
+		{sectionHandover, f.Handover.Socket != ""},
+		{sectionNotify, f.Notify.Systemd},
+		{sectionCoAP, f.CoAP.Listen != "" || f.CoAP.Upstreams},
+		{sectionList, f.List.Proxy != ""},
+		{sectionConfiguration, f.Configuration.Enabled()},
+	} {
+		if section.enabled {
+			names = append(names, section.name)
+		}
+	}
+	return names
+}
+
+// RestartRequired names the sections that differ in a newer file and that a reload does
+// not change.
+func (f *File) RestartRequired(newer *File) []string {
+	var names []string
+	for _, section := range []struct {
+		name       string
+		old, newer any
+	}{
+		{sectionHandover, f.Handover, newer.Handover},
+		{sectionNotify, f.Notify, newer.Notify},
+		{sectionCoAP, f.CoAP, newer.CoAP},
+		{sectionList, f.List, newer.List},
+		{sectionConfiguration, f.Configuration, newer.Configuration},
+	} {
+		if !reflect.DeepEqual(section.old, section.newer) {
+			names = append(names, section.name)
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/sidecar/operatorconfig/validate.go
@@ -0,0 +1,73 @@
+package operatorconfig
+
+import (
+	"fmt"
+	"net/netip"
+	"strconv"
+	"strings"
+
+	"otterspring/internal/strictfile"
+)
+
+// maxSocketPathBytes leaves room in a Unix socket's address, of 108 bytes with the zero
+// at its end, for the suffix of the path that is bound first.
+const maxSocketPathBytes = 100
+
+// reportFunc adds a fault.
+type reportFunc func(key, found, wanted string)
+
+// validate checks what the bounds of single values don't show.
+func (f *File) validate(path string, lines strictfile.Lines) (faults []*strictfile.Error) {
+	report := func(key, found, wanted string) {
+		faults = append(faults, &strictfile.Error{File: path, Line: lines[key], Key: key, Found: found, Wanted: wanted})
+	}
+	f.Handover.validate(report)
+	f.List.validate(report)
+	f.Configuration.validate(report)
+	f.CoAP.validate(report)
+	return faults
+}
+
+func (h *Handover) validate(report reportFunc) {
+	const key = "handover.socket"
+	if n := len(h.Socket); n > maxSocketPathBytes {
+		report(key, fmt.Sprintf("a path of %d bytes", n), fmt.Sprintf("%d at most", maxSocketPathBytes))
+	}
+	if h.Socket != "" && !strings.HasPrefix(h.Socket, "/") {
+		report(key, strconv.Quote(h.Socket), "an absolute path")
+	}
+}
+
+func (l *List) validate(report reportFunc) {
+	if l.Proxy == "" {
+		return
+	}
+	if _, ok := parseAddress(l.Proxy); !ok {
+		report("list.near", strconv.Quote(l.Proxy), "an IP address and a port")
+	}
+}
+
+func (c *CoAP) validate(report reportFunc) {
+	if c.Listen == "" {
+		return
+	}
+	if address, err := netip.ParseAddrPort(c.Listen); err != nil || address.Addr().IsMulticast() || address.Addr().IsUnspecified() {
+		report("coap.listen", strconv.Quote(c.Listen), "one machine's IP address and a port")
+	}
+	if c.MaxDedupEntries < c.MaxPendingRequests {
+		report("coap.kept", strconv.Itoa(c.MaxDedupEntries), fmt.Sprintf("%d (coap.open) or more", c.MaxPendingRequests))
+	}
+	if c.StatePath != "" && !strings.HasPrefix(c.StatePath, "/") {
+		report("coap.state", strconv.Quote(c.StatePath), "an absolute path")
+	}
+	if c.StatePath != "" && c.FirstRun {
+		report("coap.first", "it beside coap.state", "one of them")
+	}
+}
+
+// parseAddress reads an IP address and a port; false if text is something else. An
+// IPv4 address that is written as IPv6 is the same one.
+func parseAddress(text string) (netip.AddrPort, bool) {
+	address, err := netip.ParseAddrPort(text)
+	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port()), err == nil && address.Port() != 0
+}
