--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -40,7 +40,7 @@
 	Grant   audit.Did = "grant"   // Who gave To Amount of Key until End
 	Limit   audit.Did = "limit"   // there is Amount of Key from now on
 	Fault   audit.Did = "fault"   // Op was brought in on Who, until End
-	Process audit.Did = "process" // Who: Op is started, ready, stopped, woken, ended, killed
+	Process audit.Did = "process" // Who: Op is started, ready, stopped, woken, ended, killed, said, or of the rig teardown
 	Void    audit.Did = "void"    // why the run shows nothing
 )
 
--- a/internal/lab/rig/between_test.go
+++ b/internal/lab/rig/between_test.go
@@ -8,6 +8,7 @@
 	"os/exec"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -286,7 +287,11 @@
 		t.Errorf("kinds %v, wanted a stop at its point", res.Between.Kinds)
 	}
 	woke := false
-	for _, e := range h.Entries {
+	ended := slices.IndexFunc(h.Entries, func(e history.Entry) bool { return e.Do == history.Process && e.Op == teardown })
+	if ended < 0 {
+		t.Fatal("the history does not tell when the rig began to kill all")
+	}
+	for _, e := range h.Entries[:ended] {
 		if e.Do != history.Process || e.Op != "said" || e.Who != "f1" {
 			continue
 		}
--- a/internal/lab/rig/hosts.go
+++ b/internal/lab/rig/hosts.go
@@ -555,6 +555,9 @@
 // many processes were still there afterwards.
 func (h *hosts) stop() (left int) {
 	close(h.end)
+	// From here on the rig kills what runs, in any order: a supervisor may live to log
+	// that its instances were killed.
+	h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: "rig", Op: teardown})
 	h.mu.Lock()
 	for _, one := range h.roles() {
 		if one.sup != nil {
@@ -571,6 +574,9 @@
 	return left
 }
 
+// teardown is the history's entry of a process with which the rig begins to kill all.
+const teardown = "teardown"
+
 // endSessions kills all processes of sessions, as often as new ones are found.
 func endSessions(is func(int) bool) (left int) {
 	for range 200 {
