--- a/internal/fleet/configuration/benchmark_test.go
+++ b/internal/fleet/configuration/benchmark_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Sizes of a region that the benchmarks of this file stand for; those of
-// capacity_test.go go through several.
+// Sizes of the region in the benchmarks of this file; those of capacity_test.go use
+// several.
 const (
 	benchmarkServices   = 360
 	benchmarkSubscribed = 20
 )
 
 func benchmarkStore(b *testing.B) *Store {
+	b.Helper()
 	store := &Store{}
 	for i := range benchmarkServices {
 		change := Change{ID: fmt.Sprint("id-", i), Service: fmt.Sprint("service-", i), IfVersion: new(Version),
@@ -27,6 +28,7 @@
 }
 
 func benchmarkCache(b *testing.B) *Cache {
+	b.Helper()
 	cache := &Cache{}
 	if _, err := cache.Apply(benchmarkStore(b).UpdateSince(0)); err != nil {
 		b.Fatal(err)
@@ -34,7 +36,7 @@
 	return cache
 }
 
-func BenchmarkCacheSince(b *testing.B) {
+func BenchmarkCacheUpdateSince(b *testing.B) {
 	cache := benchmarkCache(b)
 	subscription := subscriptionOf(benchmarkSubscribed)
 	newest := cache.Version()
@@ -62,7 +64,7 @@
 	}
 }
 
-func BenchmarkStoreSince(b *testing.B) {
+func BenchmarkStoreUpdateSince(b *testing.B) {
 	store := benchmarkStore(b)
 	for name, version := range map[string]Version{"nothing_new": store.Version, "one_new": store.Version - 1, "snapshot": 0} {
 		b.Run(name, func(b *testing.B) {
@@ -84,16 +86,16 @@
 	}
 }
 
-func BenchmarkSubscriberAnswered(b *testing.B) {
-	s, now := decider(2, 1), time.Duration(0)
-	answer := &PollResponse{Update: &Update{From: v(1, 1), Version: v(1, 1)}}
-	if _, err := s.HandleResponse(now, fresh(v(1, 1))); err != nil {
+func BenchmarkSubscriberHandleResponse(b *testing.B) {
+	s, now := newSubscriber(2, 1), time.Duration(0)
+	response := &PollResponse{Update: &Update{From: v(1, 1), Version: v(1, 1)}}
+	if _, err := s.HandleResponse(now, currentResponse(v(1, 1))); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		now = s.NextPoll(now).Due + time.Second
-		if _, err := s.HandleResponse(now, answer); err != nil {
+		if _, err := s.HandleResponse(now, response); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/fleet/configuration/cache_test.go
+++ b/internal/fleet/configuration/cache_test.go
@@ -21,7 +21,7 @@
 	return all
 }
 
-// cacheOf holds a at 1.1, b at 1.2 and c at 1.3.
+// cacheOf returns a cache with a at 1.1, b at 1.2 and c at 1.3.
 func cacheOf(t *testing.T) *Cache {
 	t.Helper()
 	cache := &Cache{}
@@ -34,7 +34,7 @@
 
 func v(space, number uint32) Version { return NewVersion(space, number) }
 
-func TestCacheTake(t *testing.T) {
+func TestCacheApply(t *testing.T) {
 	cases := []struct {
 		name             string
 		update           Update
@@ -53,19 +53,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cache := cacheOf(t)
-			taken, err := cache.Apply(c.update)
+			changes, err := cache.Apply(c.update)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Equal(names(taken.Updated), c.changed) || !slices.Equal(taken.Removed, c.removed) || cache.Version() != c.version {
-				t.Errorf("found %v changed, %v removed, version %v; wanted %v, %v, %v", names(taken.Updated), taken.Removed, cache.Version(), c.changed, c.removed, c.version)
+			if !slices.Equal(names(changes.Updated), c.changed) || !slices.Equal(changes.Removed, c.removed) || cache.Version() != c.version {
+				t.Errorf("found %v changed, %v removed, version %v; wanted %v, %v, %v", names(changes.Updated), changes.Removed, cache.Version(), c.changed, c.removed, c.version)
 			}
 		})
 	}
 }
 
-// An update that can't be taken leaves all as it was.
-func TestCacheTakeRefuses(t *testing.T) {
+// A rejected update leaves the cache as it was.
+func TestCacheApplyRejects(t *testing.T) {
 	var older *StaleUpdateError
 	isOlder := func(err error) bool { return errors.As(err, &older) }
 	isGap := func(err error) bool { return errors.Is(err, ErrGap) }
@@ -78,10 +78,10 @@
 		{"older", Update{From: v(1, 1), Version: v(1, 2), Resources: []Resource{resource("a", v(1, 2))}}, isOlder},
 		{"an older snapshot", Update{Version: v(1, 2), Resources: []Resource{resource("a", v(1, 2))}}, isOlder},
 		{"none at all", Update{}, isOlder},
-		{"an answer of a relay that is behind", Update{From: v(1, 3), Version: v(1, 2)}, isOlder},
+		{"a response of a relay that is behind", Update{From: v(1, 3), Version: v(1, 2)}, isOlder},
 		{"a gap", Update{From: v(1, 4), Version: v(1, 5), Resources: []Resource{resource("a", v(1, 5))}}, isGap},
 		{"a delta into another space", Update{From: v(1, 3), Version: v(2, 5), Resources: []Resource{resource("a", v(2, 5))}}, isAny},
-		{"a delta that goes back", Update{From: v(1, 9), Version: v(1, 5)}, isAny},
+		{"a delta to an older version", Update{From: v(1, 9), Version: v(1, 5)}, isAny},
 		{"a resource newer than its update", Update{From: v(1, 3), Version: v(1, 4), Resources: []Resource{resource("a", v(1, 4)), resource("b", v(1, 5))}}, isAny},
 		{"a resource without a version", Update{From: v(1, 3), Version: v(1, 4), Resources: []Resource{{Service: "d"}}}, isAny},
 		{"a resource without a name", Update{From: v(1, 3), Version: v(1, 4), Resources: []Resource{resource("", v(1, 4))}}, isAny},
@@ -89,13 +89,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cache, same := cacheOf(t), cacheOf(t)
-			taken, err := cache.Apply(c.update)
-			oneLine(t, err, "update:", "found", "wanted")
+			changes, err := cache.Apply(c.update)
+			wantOneLine(t, err, "update:", "found", "wanted")
 			if !c.kind(err) {
 				t.Errorf("found the error %T %v, wanted another kind", err, err)
 			}
-			if len(taken.Updated)+len(taken.Removed) != 0 || cache.Version() != same.Version() || !sameResources(cache.resources, same.resources) {
-				t.Errorf("found %+v taken and %+v held, wanted all as it was", taken, cache)
+			if len(changes.Updated)+len(changes.Removed) != 0 || cache.Version() != same.Version() || !sameResources(cache.resources, same.resources) {
+				t.Errorf("found changes %+v and cache %+v, wanted neither changed", changes, cache)
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 	return true
 }
 
-func TestCacheSince(t *testing.T) {
+func TestCacheUpdateSince(t *testing.T) {
 	cases := []struct {
 		name         string
 		version      Version
@@ -122,10 +122,10 @@
 		from         Version
 		services     []string // in the order of their versions
 	}{
-		{"nothing held, all", 0, nil, 0, []string{"a", "b", "c"}},
-		{"nothing held, two", 0, Subscription{"c", "a"}, 0, []string{"a", "c"}},
-		{"nothing held, one unknown", 0, Subscription{"x", "b"}, 0, []string{"b"}},
-		{"nothing held, none subscribed", 0, Subscription{}, 0, nil},
+		{"no version, all", 0, nil, 0, []string{"a", "b", "c"}},
+		{"no version, two", 0, Subscription{"c", "a"}, 0, []string{"a", "c"}},
+		{"no version, one unknown", 0, Subscription{"x", "b"}, 0, []string{"b"}},
+		{"no version, none subscribed", 0, Subscription{}, 0, nil},
 		{"one behind, all", v(1, 2), nil, v(1, 2), []string{"c"}},
 		{"one behind, not subscribed", v(1, 2), Subscription{"a"}, v(1, 2), nil},
 		{"the newest", v(1, 3), nil, v(1, 3), nil},
@@ -152,7 +152,7 @@
 	if _, found := cache.Resource("a"); found || cache.Len() != 0 {
 		t.Error("found a resource in the zero cache")
 	}
-	if taken, err := cache.Apply(Update{}); err != nil || len(taken.Updated) != 0 {
-		t.Errorf("found %v, %v of an empty region", taken, err)
+	if changes, err := cache.Apply(Update{}); err != nil || len(changes.Updated) != 0 {
+		t.Errorf("found %v, %v of an empty region", changes, err)
 	}
 }
--- a/internal/fleet/configuration/capacity_test.go
+++ b/internal/fleet/configuration/capacity_test.go
@@ -11,7 +11,7 @@
 	"otterspring/internal/lab/cost"
 )
 
-// capacitySettings are settings of about a length: tenants, whose names fill it up.
+// capacitySettings returns settings of about a length, by their number of tenants.
 func capacitySettings(length int) json.RawMessage {
 	var settings Settings
 	const each = 64 // of one tenant, with its quota
@@ -28,7 +28,7 @@
 
 func service(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// capacityStore holds services that were changed as often as a store remembers.
+// capacityStore returns a store whose recent changes are at their limit.
 func capacityStore(b *testing.B, services, settingsBytes int) *Store {
 	b.Helper()
 	store := &Store{}
@@ -49,7 +49,7 @@
 
 var capacityServices = []int{20, 60, 120, 240, 360, MaxServices}
 
-// BenchmarkStoreApply is what a member pays to check and to apply one change.
+// BenchmarkStoreApply measures the validation and application of one change at a member.
 func BenchmarkStoreApply(b *testing.B) {
 	for _, services := range capacityServices {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkStoreSnapshot is what a member pays to write its store, and how large that is.
+// BenchmarkStoreSnapshot measures how a member marshals its store, and the size.
 func BenchmarkStoreSnapshot(b *testing.B) {
 	for _, services := range capacityServices {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// capacityRelay is what a relay holds of a region, and the subscription of one of its
+// capacityRelay returns a relay's cache of a region, and the subscription of one of its
 // subscribers.
 func capacityRelay(b *testing.B, services, subscribed, settingsBytes int) (*Cache, Subscription) {
 	b.Helper()
@@ -101,8 +101,8 @@
 	return &cache, subscription
 }
 
-// BenchmarkSubscriberSnapshot is what a subscriber's snapshot costs a relay and the
-// subscriber together, by the services that it calls.
+// BenchmarkSubscriberSnapshot measures a subscriber's snapshot at the relay and the
+// subscriber together, by the number of its services.
 func BenchmarkSubscriberSnapshot(b *testing.B) {
 	for _, subscribed := range []int{5, 20, 60, 120, 240, 360} {
 		b.Run(fmt.Sprintf("services=%d", subscribed), func(b *testing.B) {
@@ -115,12 +115,12 @@
 					b.Fatal(err)
 				}
 				bytes = len(text)
-				var answer PollResponse
-				if err := json.Unmarshal(text, &answer); err != nil {
+				var response PollResponse
+				if err := json.Unmarshal(text, &response); err != nil {
 					b.Fatal(err)
 				}
-				var own Cache
-				if _, err := own.Apply(*answer.Update); err != nil {
+				var cacheOfSubscriber Cache
+				if _, err := cacheOfSubscriber.Apply(*response.Update); err != nil {
 					b.Fatal(err)
 				}
 			})
@@ -129,7 +129,7 @@
 	}
 }
 
-// BenchmarkSubscriberDelta is the same for one change, by the bytes of one service's
+// BenchmarkSubscriberDelta measures the same for one change, by the size of one service's
 // settings.
 func BenchmarkSubscriberDelta(b *testing.B) {
 	for _, settings := range []int{512, 1024, 2048, 4096, 8000} {
@@ -143,7 +143,7 @@
 			for _, resource := range store.Resources {
 				before = max(before, resource.Version)
 			}
-			before-- // the last change is what is lacked
+			before-- // the last change is missing
 			bytes := 0
 			cost.Loop(b, func(int) {
 				update := cache.UpdateSince(before, nil)
@@ -152,12 +152,12 @@
 					b.Fatal(err)
 				}
 				bytes = len(text)
-				var answer PollResponse
-				if err := json.Unmarshal(text, &answer); err != nil {
+				var response PollResponse
+				if err := json.Unmarshal(text, &response); err != nil {
 					b.Fatal(err)
 				}
-				if len(answer.Update.Resources) != 1 {
-					b.Fatalf("%d resources, wanted 1", len(answer.Update.Resources))
+				if len(response.Update.Resources) != 1 {
+					b.Fatalf("%d resources, wanted 1", len(response.Update.Resources))
 				}
 			})
 			b.ReportMetric(float64(bytes), "wire-B")
@@ -165,8 +165,8 @@
 	}
 }
 
-// BenchmarkRegistryMemory reports what a relay holds of each subscriber, connections
-// left out, and BenchmarkRegistryHeard what a poll costs it there.
+// BenchmarkRegistryMemory measures a relay's memory per subscriber, without connections,
+// and BenchmarkRegistryRecord the registration of a poll.
 func BenchmarkRegistryMemory(b *testing.B) {
 	for _, subscribers := range []int{300, 684, 1368, 4096, 13000} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// capacityPoll is a poll of a subscriber of 20 services, as it is read from a connection.
+// capacityPoll returns a poll of a subscriber of 20 services, as read from a connection.
 func capacityPoll(i int) *Poll {
 	poll := &Poll{Subscriber: fmt.Sprintf("sidecar-%05d", i), Version: NewVersion(1, 7)}
 	for k := range 20 {
@@ -190,7 +190,7 @@
 	return poll
 }
 
-func BenchmarkRegistryHeard(b *testing.B) {
+func BenchmarkRegistryRecord(b *testing.B) {
 	for _, subscribers := range []int{300, 684, 1368, 4096, 13000} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
 			registry := NewRegistry()
@@ -200,25 +200,25 @@
 			}
 			cost.Loop(b, func(i int) {
 				if !registry.Record(time.Duration(i), polls[i%subscribers]) {
-					b.Fatal("no room")
+					b.Fatal("the registry is full")
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkAdmission is what one question for a snapshot costs while all places are
-// taken, as after a relay's death.
+// BenchmarkAdmission measures one request for a snapshot while all slots are used, as
+// after the failure of a relay.
 func BenchmarkAdmission(b *testing.B) {
 	admission := NewAdmission(DefaultAdmissionSettings)
 	rng := rand.New(rand.NewPCG(1, 2))
-	refused := 0
+	deferred := 0
 	cost.Loop(b, func(i int) {
 		if ok, _ := admission.Admit(0, fmt.Sprint(i), i >= 1000, rng.Float64()); !ok {
-			refused++
+			deferred++
 		}
 	})
-	if refused == 0 && b.N > DefaultAdmissionSettings.Slots {
+	if deferred == 0 && b.N > DefaultAdmissionSettings.Slots {
 		b.Fatal("all were admitted")
 	}
 }
--- /dev/null
+++ b/internal/fleet/configuration/convergence_test.go
@@ -0,0 +1,147 @@
+package configuration
+
+import (
+	"testing"
+	"time"
+)
+
+// convergenceTime returns how long after its acceptance a change is applied at a
+// subscriber of three relays, whose faults start at a phase of its polls.
+func convergenceTime(t *testing.T, seed uint64, phase time.Duration, faults ...func(*simulation)) time.Duration {
+	t.Helper()
+	sim := newSimulation(seed, 3, []Subscription{{"a"}})
+	sim.run(time.Second)
+	sim.change("a")
+	sim.run(2*time.Second + phase)
+	for _, fault := range faults {
+		fault(sim)
+	}
+	accepted, version := sim.now, sim.change("a")
+	for sim.subscribers[0].versions["a"] < version && sim.now < accepted+10*time.Second {
+		sim.run(time.Millisecond)
+	}
+	if len(sim.violations) > 0 {
+		t.Errorf("seed %d, phase %v: %q", seed, phase, sim.violations)
+	}
+	return sim.now - accepted
+}
+
+// A change is applied within 4 s of its acceptance while one or two of three relays have
+// failed, whatever the phase of the poll.
+func TestConvergenceWithinFourSeconds(t *testing.T) {
+	stop := func(i int) func(*simulation) { return func(sim *simulation) { sim.relays[i].suspend() } }
+	cut := func(i int) func(*simulation) { return func(sim *simulation) { sim.relays[i].setDisconnected(true) } }
+	kill := func(i int) func(*simulation) { return func(sim *simulation) { sim.relays[i].kill() } }
+	cases := []struct {
+		name   string
+		faults []func(*simulation)
+		least  time.Duration // that the worst phase takes, so that a fault without effect fails the test
+	}{
+		{"none", nil, 0},
+		{"the first killed", []func(*simulation){kill(0)}, 0},
+		{"the first suspended", []func(*simulation){stop(0)}, 1500 * time.Millisecond},
+		{"the first disconnected", []func(*simulation){cut(0)}, 1500 * time.Millisecond},
+		{"both suspended", []func(*simulation){stop(0), stop(1)}, 2200 * time.Millisecond},
+		{"the first suspended, the second disconnected", []func(*simulation){stop(0), cut(1)}, 1500 * time.Millisecond},
+		{"the first disconnected, the second suspended", []func(*simulation){cut(0), stop(1)}, 2200 * time.Millisecond},
+		{"both disconnected", []func(*simulation){cut(0), cut(1)}, 1500 * time.Millisecond},
+		{"the first suspended, the second killed", []func(*simulation){stop(0), kill(1)}, 1500 * time.Millisecond},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			worst := time.Duration(0)
+			for phase := time.Duration(0); phase < 1600*time.Millisecond; phase += 50 * time.Millisecond {
+				for seed := range uint64(2) {
+					took := convergenceTime(t, seed, phase, c.faults...)
+					worst = max(worst, took)
+					if took > 4*time.Second {
+						t.Fatalf("seed %d, phase %v: applied after %v, wanted 4 s at most", seed, phase, took)
+					}
+				}
+			}
+			t.Logf("worst %v", worst)
+			if worst < c.least {
+				t.Errorf("the worst phase took %v, wanted one of %v or more: the fault had no effect", worst, c.least)
+			}
+		})
+	}
+}
+
+// The worst case: a relay is disconnected, and suspended just before that is detected, and
+// the next one is suspended too. StaleAfter is chosen for it.
+func TestConvergenceAfterTwoFaultsOfOneRelay(t *testing.T) {
+	worst := time.Duration(0)
+	for phase := time.Duration(0); phase < 1600*time.Millisecond; phase += 50 * time.Millisecond {
+		for later := time.Second; later < 2*time.Second; later += 50 * time.Millisecond {
+			faults := func(sim *simulation) {
+				sim.relays[0].setDisconnected(true)
+				sim.relays[1].suspend()
+				sim.after(later, sim.relays[0].suspend)
+			}
+			took := convergenceTime(t, uint64(later), phase, faults)
+			worst = max(worst, took)
+			if took > 4*time.Second {
+				t.Fatalf("phase %v, suspended %v after it was disconnected: applied after %v, wanted 4 s at most", phase, later, took)
+			}
+		}
+	}
+	t.Logf("worst %v", worst)
+	if worst < 3400*time.Millisecond {
+		t.Errorf("the worst phase took %v, wanted one of 3.4 s or more: the fault had no effect", worst)
+	}
+}
+
+// A change that is accepted some time after a relay was suspended, or while a probe of
+// a suspended one is in flight, takes no longer.
+func TestConvergenceAfterAnyFault(t *testing.T) {
+	worst := time.Duration(0)
+	for seed := range uint64(200) {
+		sim := newSimulation(seed, 3, []Subscription{{"a"}})
+		sim.run(time.Second)
+		sim.change("a")
+		sim.run(time.Second)
+		sim.relays[0].suspend()
+		sim.run(time.Duration(sim.rng.Int64N(int64(40 * time.Second))))
+		if settled := sim.subscribers[0].relay; seed%2 == 0 {
+			sim.relays[max(settled, 1)].suspend()
+		} else {
+			sim.relays[max(settled, 1)].setDisconnected(true)
+		}
+		sim.run(time.Duration(sim.rng.Int64N(int64(time.Second))))
+		accepted, version := sim.now, sim.change("a")
+		for sim.subscribers[0].versions["a"] < version && sim.now < accepted+10*time.Second {
+			sim.run(10 * time.Millisecond)
+		}
+		worst = max(worst, sim.now-accepted)
+		if sim.now-accepted > 4*time.Second || len(sim.violations) > 0 {
+			t.Fatalf("seed %d: applied after %v, wanted 4 s at most; %q", seed, sim.now-accepted, sim.violations)
+		}
+	}
+	t.Logf("worst %v", worst)
+}
+
+// A half-open connection: polls are sent and no response is received. The subscriber
+// detects it by its timeout, and the slot of the snapshot that was in flight is free again
+// after SlotTimeout.
+func TestHalfOpenConnection(t *testing.T) {
+	sim := newSimulation(1, 2, []Subscription{{"a"}})
+	sim.admission.Slots = 1
+	sim.run(time.Second)
+	sim.change("a")
+	sim.loss = 1
+	sim.subscribers[0].restart(0)
+	sim.run(DefaultSubscriberSettings(2).ResponseTimeout + 50*time.Millisecond)
+	if s := sim.subscribers[0]; s.relay != 1 {
+		t.Errorf("found relay %d polled, wanted 1 after the timeout", s.relay)
+	}
+	admission := NewAdmission(AdmissionSettings{Slots: 1, SlotTimeout: time.Second, RetryMin: time.Millisecond, RetryMax: time.Second})
+	if admitted, _ := admission.Admit(0, "half-open", false, 0); !admitted {
+		t.Fatal("found no free slot")
+	}
+	if admitted, retry := admission.Admit(999*time.Millisecond, "next", false, 0); admitted || retry <= 0 {
+		t.Errorf("found %v, %v while the only slot is used", admitted, retry)
+	}
+	if admitted, _ := admission.Admit(time.Second, "next", true, 0); !admitted {
+		t.Error("found the slot used after its timeout")
+	}
+}
--- a/internal/fleet/configuration/fuzz_test.go
+++ b/internal/fleet/configuration/fuzz_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// FuzzPollAnswer: what a relay may answer is taken whole or not at all, and comes
-// out of a second writing as it came out of the first.
-func FuzzPollAnswer(f *testing.F) {
+// FuzzPollResponse: any response is applied completely or not at all, and is the same after
+// it was written and read again.
+func FuzzPollResponse(f *testing.F) {
 	for _, seed := range []string{
 		`{}`, `{"region":"r","age_ms":7,"update":{"from":0,"version":4294967297,"resources":[{"service":"a","version":4294967297,"settings":{}}]}}`,
 		`{"refusal":"busy","retry_ms":-9223372036854775808}`, `{"age_ms":-1,"update":{"from":5,"version":3}}`,
@@ -17,36 +17,37 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var answer, again PollResponse
-		if json.Unmarshal(text, &answer) != nil {
+		var response, second PollResponse
+		if json.Unmarshal(text, &response) != nil {
 			return
 		}
-		if answer.Age() < 0 || answer.Age() > maxAge {
-			t.Fatalf("found age %v", answer.Age())
+		if response.Age() < 0 || response.Age() > maxAge {
+			t.Fatalf("found age %v", response.Age())
 		}
-		first := mustMarshal(t, answer)
-		if err := json.Unmarshal(first, &again); err != nil {
+		first := mustMarshal(t, response)
+		if err := json.Unmarshal(first, &second); err != nil {
 			t.Fatal(err)
 		}
-		if second := mustMarshal(t, again); string(first) != string(second) {
-			t.Fatalf("found %s, wanted %s", second, first)
+		if rewritten := mustMarshal(t, second); string(first) != string(rewritten) {
+			t.Fatalf("found %s, wanted %s", rewritten, first)
 		}
-		takeAnswer(t, &answer)
+		checkApply(t, &response)
 	})
 }
 
-// takeAnswer holds a cache's invariants against any update.
-func takeAnswer(t *testing.T, answer *PollResponse) {
+// checkApply checks a cache's invariants after any update.
+func checkApply(t *testing.T, response *PollResponse) {
+	t.Helper()
 	cache := Cache{}
-	held := Update{Version: NewVersion(1, 2), Resources: []Resource{{Service: "a", Version: NewVersion(1, 2)}}}
-	if _, err := cache.Apply(held); err != nil {
+	first := Update{Version: NewVersion(1, 2), Resources: []Resource{{Service: "a", Version: NewVersion(1, 2)}}}
+	if _, err := cache.Apply(first); err != nil {
 		t.Fatal(err)
 	}
-	if answer.Update == nil {
+	if response.Update == nil {
 		return
 	}
 	before := cache.Version()
-	_, err := cache.Apply(*answer.Update)
+	_, err := cache.Apply(*response.Update)
 	var older *StaleUpdateError
 	if cache.Version() < before || errors.As(err, &older) && cache.Version() != before {
 		t.Fatalf("found version %v after %v", cache.Version(), before)
@@ -58,8 +59,8 @@
 	}
 }
 
-// FuzzPoll: a poll that passes its check stays within all bounds and comes out of a
-// second writing as it came out of the first.
+// FuzzPoll: a valid poll is within all limits, and is the same after it was written and
+// read again.
 func FuzzPoll(f *testing.F) {
 	for _, seed := range []string{
 		`{}`, `{"region":"r","subscriber":"s","services":["a","b"],"version":4294967297,"wait_ms":1500}`,
@@ -69,7 +70,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var poll, again Poll
+		var poll, second Poll
 		if json.Unmarshal(text, &poll) != nil {
 			return
 		}
@@ -83,11 +84,11 @@
 			return
 		}
 		first := mustMarshal(t, poll)
-		if err := json.Unmarshal(first, &again); err != nil {
+		if err := json.Unmarshal(first, &second); err != nil {
 			t.Fatal(err)
 		}
-		if second := mustMarshal(t, again); string(first) != string(second) || (poll.Services == nil) != (again.Services == nil) {
-			t.Fatalf("found %s, wanted %s", second, first)
+		if rewritten := mustMarshal(t, second); string(first) != string(rewritten) || (poll.Services == nil) != (second.Services == nil) {
+			t.Fatalf("found %s, wanted %s", rewritten, first)
 		}
 	})
 }
--- a/internal/fleet/configuration/message_test.go
+++ b/internal/fleet/configuration/message_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// oneLine fails the test unless an error is one line that names each of the parts.
-func oneLine(t *testing.T, err error, parts ...string) {
+// wantOneLine fails the test unless an error is one line that contains each of the parts.
+func wantOneLine(t *testing.T, err error, parts ...string) {
 	t.Helper()
 	if err == nil {
 		t.Fatalf("found no error, wanted one with %q", parts)
@@ -29,12 +29,12 @@
 	}
 }
 
-// isLine tells whether a text is one printable line that is not long.
+// isLine reports whether a text is one short printable line.
 func isLine(text string) bool {
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, isUnprintable) && len(text) <= 400
 }
 
-// A sidecar that calls no service must not be sent all of them.
+// A sidecar that calls no service must not get all of them.
 func TestEmptySubscriptionStaysEmptyOnTheWire(t *testing.T) {
 	for _, services := range []Subscription{nil, {}, {"a"}} {
 		text, err := json.Marshal(Poll{Services: services})
@@ -51,13 +51,13 @@
 	}
 }
 
-func TestPollCheck(t *testing.T) {
+func TestPollValidate(t *testing.T) {
 	long := strings.Repeat("x", MaxNameBytes+1)
 	many := make(Subscription, MaxServices+1)
 	cases := []struct {
-		name  string
-		spoil func(*Poll)
-		parts []string
+		name       string
+		invalidate func(*Poll)
+		parts      []string
 	}{
 		{"no subscriber", func(p *Poll) { p.Subscriber = "" }, []string{"subscriber:", "found", "wanted"}},
 		{"a subscriber of two lines", func(p *Poll) { p.Subscriber = "a\nb" }, []string{"subscriber:", `"a\nb"`, "wanted"}},
@@ -77,15 +77,15 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := valid()
-			c.spoil(&p)
-			oneLine(t, p.Validate(), c.parts...)
+			c.invalidate(&p)
+			wantOneLine(t, p.Validate(), c.parts...)
 		})
 	}
 }
 
-// Whatever reasons a sidecar has, its poll is not refused for them, and what is kept
-// and shown of them is bounded and in one line.
-func TestReasonsAreBoundedNotRefused(t *testing.T) {
+// A poll is never rejected for its reasons, and they are stored and shown as one line of
+// limited length.
+func TestReasonsAreTruncated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reasons := rapid.SliceOfN(rapid.OneOf(
 			rapid.String(),
@@ -96,15 +96,15 @@
 		for i, reason := range reasons {
 			poll.Rejected = append(poll.Rejected, Rejection{Service: fmt.Sprint(i), Version: 1, Reason: reason})
 		}
-		given := slices.Clone(poll.Rejected)
+		original := slices.Clone(poll.Rejected)
 		registry := NewRegistry()
-		if err := poll.Validate(); err != nil || !registry.Record(0, &poll) || !slices.Equal(poll.Rejected, given) {
-			t.Fatalf("found %v, or the caller's own changed", err)
+		if err := poll.Validate(); err != nil || !registry.Record(0, &poll) || !slices.Equal(poll.Rejected, original) {
+			t.Fatalf("found %v, or the caller's poll changed", err)
 		}
 		for i := range reasons {
 			status := registry.Status(0, fmt.Sprint(i))[0]
 			if known := status.RejectedVersion != 0; known != (i < MaxRejectionsPerSubscriber) {
-				t.Fatalf("rejection %d: found %v, wanted the first %d kept", i, known, MaxRejectionsPerSubscriber)
+				t.Fatalf("rejection %d: found %v, wanted the first %d stored", i, known, MaxRejectionsPerSubscriber)
 			}
 			if len(status.Reason) > MaxReasonBytes || !isLine(status.Reason) {
 				t.Fatalf("found the reason %q, wanted one line of %d bytes at most", status.Reason, MaxReasonBytes)
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestWaitAndAgeOfNonsense(t *testing.T) {
+func TestInvalidWaitAndAge(t *testing.T) {
 	for ms, want := range map[int]time.Duration{-5: 0, 0: 0, 1500: 1500 * time.Millisecond, math.MaxInt: MaxWait} {
 		if got := (&Poll{WaitMS: ms}).Wait(); got != want {
 			t.Errorf("wait_ms %d: found %v, wanted %v", ms, got, want)
@@ -134,22 +134,23 @@
 	}
 	for _, text := range []string{"", "1", "1.", ".1", "1.2.3", "-1.2", "1.-2", "+1.2", "1.4294967296", "4294967296.1", "a.b", "1. 2"} {
 		_, err := ParseVersion(text)
-		oneLine(t, err, "version:", "found", "wanted SPACE.NUMBER")
+		wantOneLine(t, err, "version:", "found", "wanted SPACE.NUMBER")
 	}
 }
 
-func TestCheckName(t *testing.T) {
-	for _, good := range []string{"a", "~", "svc-7.zone/x", strings.Repeat("n", MaxNameBytes)} {
-		if err := ValidateName("service", good); err != nil {
+func TestValidateName(t *testing.T) {
+	for _, valid := range []string{"a", "~", "svc-7.zone/x", strings.Repeat("n", MaxNameBytes)} {
+		if err := ValidateName("service", valid); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, bad := range []string{"", " ", "a b", "a\n", "\x7f", "é", strings.Repeat("n", MaxNameBytes+1), strings.Repeat("\x00", 1000)} {
-		oneLine(t, ValidateName("service", bad), "service:", "found", "wanted")
+	for _, invalid := range []string{"", " ", "a b", "a\n", "\x7f", "é", strings.Repeat("n", MaxNameBytes+1), strings.Repeat("\x00", 1000)} {
+		wantOneLine(t, ValidateName("service", invalid), "service:", "found", "wanted")
 	}
 }
 
 func mustMarshal(t *testing.T, value any) []byte {
+	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
@@ -157,12 +158,12 @@
 	return text
 }
 
-func TestDigestTellsSubscriptionsApart(t *testing.T) {
+func TestDigestsDiffer(t *testing.T) {
 	seen := map[uint64]int{}
 	for i, subscription := range []Subscription{nil, {}, {"a"}, {"b"}, {"a", "b"}, {"b", "a"}, {"ab"}} {
 		digest := subscription.Digest()
 		if before, found := seen[digest]; found {
-			t.Errorf("found digest %d for %d and %d, wanted each its own", digest, before, i)
+			t.Errorf("found digest %d for %d and %d, wanted different ones", digest, before, i)
 		}
 		seen[digest] = i
 	}
--- a/internal/fleet/configuration/registry_test.go
+++ b/internal/fleet/configuration/registry_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRegistryTellsWhoRejects(t *testing.T) {
+func TestRegistryReportsRejections(t *testing.T) {
 	r := NewRegistry()
 	r.Record(time.Second, &Poll{Subscriber: "s1", Services: Subscription{"a", "b"}, Version: 7})
 	r.Record(2*time.Second, &Poll{Subscriber: "s0", Services: Subscription{"a"}, Version: 7, Rejected: []Rejection{{Service: "a", Version: 7, Reason: "no such class"}}})
@@ -31,52 +31,52 @@
 	}
 }
 
-// What a poll's caller does with its memory later does not change what is known.
-func TestRegistryOwnsWhatItKeeps(t *testing.T) {
+// The registry does not share memory with a poll.
+func TestRegistryCopiesPolls(t *testing.T) {
 	r := NewRegistry()
 	poll := Poll{Subscriber: "s", Services: Subscription{"a"}, Rejected: []Rejection{{Service: "a", Version: 1, Reason: "x"}}}
 	r.Record(0, &poll)
 	poll.Services[0], poll.Rejected[0].Reason = "b", "y"
 	if got := r.Status(0, "a"); len(got) != 1 || got[0].Reason != "x" {
-		t.Errorf("found %+v, wanted s with its own reason", got)
+		t.Errorf("found %+v, wanted s with reason x", got)
 	}
 }
 
-func TestRegistryForgets(t *testing.T) {
+func TestRegistryExpiresInactiveSubscribers(t *testing.T) {
 	r := NewRegistry()
 	for i := range MaxSubscribers {
 		if !r.Record(0, &Poll{Subscriber: fmt.Sprint(i)}) {
-			t.Fatalf("found no room for subscriber %d", i)
+			t.Fatalf("subscriber %d was rejected", i)
 		}
 	}
 	late := &Poll{Subscriber: "late"}
 	if r.Record(time.Minute, late) {
-		t.Error("found room beyond the bound")
+		t.Error("a subscriber beyond the limit was registered")
 	}
 	if !r.Record(time.Minute, &Poll{Subscriber: "7"}) || r.Len() != MaxSubscribers {
-		t.Error("found no room for one that is known")
+		t.Error("a registered subscriber was rejected")
 	}
 	if now := subscriberTTL + 30*time.Second; !r.Record(now, late) || r.Len() != 2 {
-		t.Errorf("found %d known, wanted 7 and late after %v", r.Len(), now)
+		t.Errorf("found %d registered, wanted 7 and late after %v", r.Len(), now)
 	}
 }
 
-// One that has ended is not reported for ever, although there is room.
-func TestRegistryForgetsWithoutNeedOfRoom(t *testing.T) {
+// A subscriber that has ended is removed also below the limit.
+func TestRegistryExpiresBelowItsLimit(t *testing.T) {
 	r := NewRegistry()
 	r.Record(0, &Poll{Subscriber: "ended"})
 	for now := time.Duration(0); now <= subscriberTTL+expiryInterval+time.Second; now += time.Second {
 		r.Record(now, &Poll{Subscriber: "alive"})
 	}
 	if r.Len() != 1 {
-		t.Errorf("found %d known, wanted 1", r.Len())
+		t.Errorf("found %d registered, wanted 1", r.Len())
 	}
 }
 
-// What is kept of a subscriber does not grow with the changes that it takes.
+// The memory of a subscriber does not grow with the changes that it acknowledges.
 func TestRegistryIsConstantPerSubscriber(t *testing.T) {
 	const subscribers = 200
-	kept := func(r *Registry, from, changes int) uint64 {
+	heapAfter := func(r *Registry, from, changes int) uint64 {
 		for i := range changes {
 			for s := range subscribers {
 				poll := Poll{Subscriber: fmt.Sprint("subscriber-", s), Services: subscriptionOf(20), Version: Version(from + i),
@@ -87,15 +87,15 @@
 		return heapBytes()
 	}
 	r := NewRegistry()
-	first := kept(r, 1, 2)
-	second := kept(r, 3, 50)
+	first := heapAfter(r, 1, 2)
+	second := heapAfter(r, 3, 50)
 	runtime.KeepAlive(r)
 	if r.Len() != subscribers || second > first+subscribers*64 {
 		t.Errorf("found %d bytes after 2 changes and %d after 52, wanted no more", first, second)
 	}
 }
 
-// heapBytes is what is in use on the heap.
+// heapBytes returns the size of live objects on the heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/fleet/configuration/settings_test.go
+++ b/internal/fleet/configuration/settings_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestParseSettingsRefuses(t *testing.T) {
+func TestParseSettingsRejects(t *testing.T) {
 	tenants := func(entry string) string { return `{"tenants":[{"name":"a"},` + entry + `]}` }
 	classes := func(entry string) string { return `{"classes":[` + entry + `]}` }
 	manyOf := func(list string, count int) string {
@@ -99,7 +99,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			settings, err := ParseSettings([]byte(c.text))
-			oneLine(t, err, append(c.parts, "found", "wanted")...)
+			wantOneLine(t, err, append(c.parts, "found", "wanted")...)
 			if settings.Tenants != nil || settings.Classes != nil {
 				t.Errorf("found %+v with the error, wanted nothing", settings)
 			}
--- /dev/null
+++ b/internal/fleet/configuration/simulation_subscriber_test.go
@@ -0,0 +1,191 @@
+package configuration
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// simulatedSubscriber is a sidecar process.
+type simulatedSubscriber struct {
+	simulation  *simulation
+	name        string
+	services    Subscription
+	incarnation int
+	subscriber  *Subscriber
+	pollNumber  int // of the last poll
+	inFlight    bool
+	polls       []time.Duration
+	relay       int // polled last
+	rejected    []Rejection
+	versions    map[string]Version // of each resource, as it was last applied
+	version     Version
+	received    int // resources in responses
+	applied     map[resourceVersion]int
+}
+
+func (s *simulatedSubscriber) start() {
+	s.checkPollRate()
+	s.polls, s.inFlight = nil, false
+	s.incarnation++
+	s.subscriber = NewSubscriber(s.simulation.settings, rand.New(rand.NewPCG(s.simulation.rng.Uint64(), 2)))
+	s.versions, s.version, s.rejected = map[string]Version{}, 0, nil
+	s.applied = map[resourceVersion]int{}
+	s.schedulePoll()
+}
+
+// restart starts the process again with an empty cache; messages in flight are lost.
+func (s *simulatedSubscriber) restart(after time.Duration) {
+	s.incarnation++
+	s.inFlight, s.subscriber = false, nil
+	s.simulation.after(after, s.start)
+}
+
+// schedule runs a step after a time, if this process has not ended by then.
+func (s *simulatedSubscriber) schedule(d time.Duration, step func()) {
+	incarnation := s.incarnation
+	s.simulation.after(d, func() {
+		if s.incarnation == incarnation {
+			step()
+		}
+	})
+}
+
+func (s *simulatedSubscriber) schedulePoll() {
+	next := s.subscriber.NextPoll(s.simulation.now)
+	s.schedule(next.Due-s.simulation.now, func() { s.send(next) })
+}
+
+func (s *simulatedSubscriber) send(next NextPoll) {
+	sim := s.simulation
+	s.pollNumber++
+	s.inFlight = true
+	number := s.pollNumber
+	s.polls = append(s.polls, sim.now)
+	s.relay = next.Relay
+	s.schedule(next.Timeout, func() { s.handleFailure(number) })
+	poll := Poll{Subscriber: s.name, Services: s.services, Version: s.subscriber.Version(), Rejected: s.rejected, WaitMS: int(next.Wait.Milliseconds())}
+	relay := sim.relays[next.Relay]
+	if relay.down {
+		s.schedule(sim.latency(), func() { s.handleFailure(number) })
+		return
+	}
+	if sim.rng.Float64() < sim.loss {
+		return
+	}
+	relay.schedule(sim.latency(), func() {
+		relay.serve(poll, func(response PollResponse) {
+			if sim.rng.Float64() >= sim.loss {
+				s.schedule(sim.latency(), func() { s.handleResponse(number, &response) })
+			}
+			if sim.rng.Float64() < sim.duplicate { // a late response that a client processes by mistake
+				s.schedule(time.Duration(sim.rng.Int64N(int64(3*time.Second))), func() { s.handleLateResponse(&response) })
+			}
+		})
+	})
+}
+
+func (s *simulatedSubscriber) handleFailure(number int) {
+	if number != s.pollNumber || !s.inFlight {
+		return
+	}
+	s.inFlight = false
+	s.subscriber.HandleFailure(s.simulation.now)
+	s.schedulePoll()
+}
+
+func (s *simulatedSubscriber) handleResponse(number int, response *PollResponse) {
+	if number != s.pollNumber || !s.inFlight {
+		return // a late response: its poll has timed out
+	}
+	s.inFlight = false
+	if response.Update != nil {
+		s.received += len(response.Update.Resources)
+	}
+	changes, _ := s.subscriber.HandleResponse(s.simulation.now, response)
+	s.checkChanges(changes)
+	s.schedulePoll()
+}
+
+// handleLateResponse applies the update of a response whose poll has timed out.
+func (s *simulatedSubscriber) handleLateResponse(response *PollResponse) {
+	if response.Update != nil {
+		changes, _ := s.subscriber.Cache().Apply(*response.Update)
+		s.checkChanges(changes)
+	}
+}
+
+// checkChanges checks the invariants of the versions and the content.
+func (s *simulatedSubscriber) checkChanges(changes Changes) {
+	sim := s.simulation
+	if s.subscriber.Version() < s.version {
+		sim.fail("%s: version decreased from %v to %v", s.name, s.version, s.subscriber.Version())
+	}
+	s.version = s.subscriber.Version()
+	for _, service := range changes.Removed {
+		delete(s.versions, service)
+	}
+	for _, resource := range changes.Updated {
+		if resource.Version <= s.versions[resource.Service] {
+			sim.fail("%s: %s went from %v to %v", s.name, resource.Service, s.versions[resource.Service], resource.Version)
+		}
+		s.versions[resource.Service] = resource.Version
+		key := resourceVersion{resource.Service, resource.Version}
+		if s.applied[key]++; s.applied[key] > 1 {
+			sim.fail("%s: %s at %v was applied twice", s.name, resource.Service, resource.Version)
+		}
+		if published, found := sim.published[key]; !found || published != string(resource.Settings) {
+			sim.fail("%s: %s at %v is %s, the cluster published %s", s.name, resource.Service, resource.Version, resource.Settings, published)
+		}
+		if s.services != nil && !slices.Contains(s.services, resource.Service) {
+			sim.fail("%s: was sent %s, which it does not subscribe to", s.name, resource.Service)
+		}
+	}
+}
+
+// differenceToCluster returns how the subscriber's cache differs from the cluster's
+// resources of its subscription; empty if it does not.
+func (s *simulatedSubscriber) differenceToCluster() string {
+	if s.subscriber == nil {
+		return s.name + " is not running"
+	}
+	wanted := map[string]Resource{}
+	for service, resource := range s.simulation.cluster.store.Resources {
+		if s.services == nil || slices.Contains(s.services, service) {
+			wanted[service] = *resource
+		}
+	}
+	if cached := s.subscriber.Cache().resources; !sameResources(cached, wanted) {
+		return fmt.Sprintf("%s has %v, wanted %v", s.name, versionsOf(cached), versionsOf(wanted))
+	}
+	return ""
+}
+
+func versionsOf(resources map[string]Resource) map[string]Version {
+	versions := map[string]Version{}
+	for service, resource := range resources {
+		versions[service] = resource.Version
+	}
+	return versions
+}
+
+// checkPollRate checks the limit of this process' poll rate.
+func (s *simulatedSubscriber) checkPollRate() {
+	const span = 10 * time.Second
+	if polls, limit := s.maxPollsWithin(span), pollBurst+1+int(span/pollInterval); polls > limit {
+		s.simulation.fail("%s polled %d times within %v, wanted %d at most", s.name, polls, span, limit)
+	}
+}
+
+// maxPollsWithin returns the highest number of polls within any span of a length.
+func (s *simulatedSubscriber) maxPollsWithin(d time.Duration) int {
+	most, first := 0, 0
+	for i, at := range s.polls {
+		for s.polls[first] < at-d {
+			first++
+		}
+		most = max(most, i-first+1)
+	}
+	return most
+}
--- a/internal/fleet/configuration/store_test.go
+++ b/internal/fleet/configuration/store_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// put is a change; ifVersion below zero stands for any version.
+// put returns a change; ifVersion below zero stands for any version.
 func put(id, service string, ifVersion int64) Change {
 	change := Change{ID: id, Service: service, Settings: json.RawMessage(`{"tenants":[{"name":"` + id + `"}]}`)}
 	if ifVersion >= 0 {
@@ -30,7 +30,7 @@
 	return version
 }
 
-// storeOf holds a at 1.1, b at 1.2 and c at 1.3.
+// storeOf returns a store with a at 1.1, b at 1.2 and c at 1.3.
 func storeOf(t *testing.T) *Store {
 	t.Helper()
 	s := &Store{}
@@ -47,7 +47,7 @@
 	cases := []struct {
 		name     string
 		change   Change
-		conflict *ConflictError // nil where the change is taken
+		conflict *ConflictError // nil if the change is applied
 	}{
 		{"its version", put("x", "a", one), nil},
 		{"any version", put("x", "a", -1), nil},
@@ -71,26 +71,26 @@
 			if !errors.As(err, &conflict) || *conflict != *c.conflict {
 				t.Errorf("found %v, wanted %v", err, c.conflict)
 			}
-			oneLine(t, err, "service "+c.change.Service+":", "found version", "wanted")
+			wantOneLine(t, err, "service "+c.change.Service+":", "found version", "wanted")
 			if after := string(mustMarshal(t, s)); after != before {
-				t.Errorf("found %s after a refusal, wanted %s", after, before)
+				t.Errorf("found %s after a rejection, wanted %s", after, before)
 			}
 		})
 	}
 }
 
-func TestStoreRefuses(t *testing.T) {
+func TestStoreRejects(t *testing.T) {
 	s := storeOf(t)
 	_, err := s.Apply(1, put("x", "unknown", -1))
-	oneLine(t, err, "service unknown:", "found no such service", "wanted")
+	wantOneLine(t, err, "service unknown:", "found no such service", "wanted")
 	_, err = s.Apply(1, Change{ID: "x", Service: "a", Settings: json.RawMessage(`{`)})
-	oneLine(t, err, "settings:", "found", "wanted")
+	wantOneLine(t, err, "settings:", "found", "wanted")
 	for i := len(s.Resources); i < MaxServices; i++ {
 		mustApply(t, s, 1, put(fmt.Sprint("id-", i), fmt.Sprint("service-", i), 0))
 	}
 	_, err = s.Apply(1, put("over", "over", 0))
-	oneLine(t, err, "service over:", "found 512 services", "wanted 512")
-	mustApply(t, s, 1, put("other", "a", -1)) // one that is there changes all the same
+	wantOneLine(t, err, "service over:", "found 512 services", "wanted 512")
+	mustApply(t, s, 1, put("other", "a", -1)) // an existing one can still be changed
 }
 
 func TestStoreBoundsAllSettings(t *testing.T) {
@@ -104,15 +104,15 @@
 		mustApply(t, s, 1, full(i))
 	}
 	_, err := s.Apply(1, full(1000))
-	oneLine(t, err, "service service-1000:", "found 3153920 bytes", "wanted 3145728")
-	again := full(3)
-	again.ID, again.IfVersion = "again", nil
-	mustApply(t, s, 1, again) // of the same size
+	wantOneLine(t, err, "service service-1000:", "found 3153920 bytes", "wanted 3145728")
+	replaced := full(3)
+	replaced.ID, replaced.IfVersion = "replaced", nil
+	mustApply(t, s, 1, replaced) // of the same size
 }
 
-// What a relay and a sidecar receive is what is stored, byte for byte, and no longer
-// than what was checked.
-func TestStoreHoldsSettingsAsTheyAreSent(t *testing.T) {
+// A relay and a sidecar receive the stored settings byte for byte, in the form whose size
+// was checked.
+func TestStoreSettingsAreCanonical(t *testing.T) {
 	s := &Store{}
 	change := put("x", "a", 0)
 	change.Settings = json.RawMessage("{\n  \"tenants\": [ {\"name\": \"<&>\"} ]\n}\n")
@@ -128,51 +128,51 @@
 
 func TestStoreAppliesAnIDOnce(t *testing.T) {
 	s := storeOf(t)
-	first := mustApply(t, s, 1, put("again", "a", int64(v(1, 1))))
+	first := mustApply(t, s, 1, put("retried", "a", int64(v(1, 1))))
 	mustApply(t, s, 1, put("later", "a", int64(first)))
 	before := string(mustMarshal(t, s))
-	if version, err := s.Apply(1, put("again", "a", int64(v(1, 1)))); err != nil || version != first {
-		t.Errorf("found %v, %v, wanted %v of the first time", version, err, first)
+	if version, err := s.Apply(1, put("retried", "a", int64(v(1, 1)))); err != nil || version != first {
+		t.Errorf("found %v, %v, wanted the version of the first time, %v", version, err, first)
 	}
 	if after := string(mustMarshal(t, s)); after != before {
 		t.Errorf("found %s, wanted nothing applied: %s", after, before)
 	}
 }
 
-func TestStoreRemembersABoundedNumber(t *testing.T) {
+func TestStoreLimitsRecentChanges(t *testing.T) {
 	s := storeOf(t)
 	first := mustApply(t, s, 1, put("first", "a", -1))
 	for i := range maxRecentChanges - 1 {
 		mustApply(t, s, 1, put(fmt.Sprint("n", i), "a", -1))
 	}
 	if len(s.RecentChanges) != maxRecentChanges || s.RecentChanges[0].ID != "first" || s.RecentChanges[maxRecentChanges-1].ID != fmt.Sprint("n", maxRecentChanges-2) {
-		t.Fatalf("found %d remembered from %q to %q", len(s.RecentChanges), s.RecentChanges[0].ID, s.RecentChanges[len(s.RecentChanges)-1].ID)
+		t.Fatalf("found %d recent changes from %q to %q", len(s.RecentChanges), s.RecentChanges[0].ID, s.RecentChanges[len(s.RecentChanges)-1].ID)
 	}
 	if version := mustApply(t, s, 1, put("first", "a", -1)); version != first {
-		t.Errorf("found %v, wanted the oldest remembered, %v", version, first)
+		t.Errorf("found %v, wanted the version of the oldest recent change, %v", version, first)
 	}
 	mustApply(t, s, 1, put("one more", "a", -1))
 	if version := mustApply(t, s, 1, put("first", "a", -1)); version == first {
-		t.Error("found a change remembered beyond the bound")
+		t.Error("found a change beyond the limit")
 	}
 	if !slices.IsSortedFunc(s.RecentChanges, func(a, b AppliedChange) int { return int(a.Version) - int(b.Version) }) {
-		t.Error("found the remembered out of order, wanted the oldest first")
+		t.Error("found the recent changes out of order, wanted the oldest first")
 	}
 }
 
-func TestStoreSince(t *testing.T) {
+func TestStoreUpdateSince(t *testing.T) {
 	cases := []struct {
 		name     string
 		version  Version
 		from     Version
 		services []string
 	}{
-		{"nothing held", 0, 0, []string{"b", "c", "a"}},
+		{"no version", 0, 0, []string{"b", "c", "a"}},
 		{"two behind", v(1, 2), v(1, 2), []string{"c", "a"}},
 		{"the newest", v(1, 4), v(1, 4), nil},
 		{"an older space", v(0, 9), 0, []string{"b", "c", "a"}},
-		{"a newer space: this member is late", v(2, 1), 0, []string{"b", "c", "a"}},
-		{"a newer version: this member is late", v(1, 9), 0, []string{"b", "c", "a"}},
+		{"a newer space: this member is behind", v(2, 1), 0, []string{"b", "c", "a"}},
+		{"a newer version: this member is behind", v(1, 9), 0, []string{"b", "c", "a"}},
 	}
 	s := storeOf(t)
 	mustApply(t, s, 1, put("x", "a", -1))
@@ -184,14 +184,15 @@
 			}
 			relay := cacheAt(t, c.version)
 			if _, err := relay.Apply(got); c.version > v(1, 4) != (err != nil) {
-				t.Errorf("found %v when %v takes it", err, c.version)
+				t.Errorf("found %v when a cache at %v applies it", err, c.version)
 			}
 		})
 	}
 }
 
-// cacheAt holds nothing at a version.
+// cacheAt returns a cache without resources at a version.
 func cacheAt(t *testing.T, version Version) *Cache {
+	t.Helper()
 	cache := &Cache{}
 	if _, err := cache.Apply(Update{Version: version}); err != nil {
 		t.Fatal(err)
@@ -213,14 +214,14 @@
 	}
 }
 
-// A restored store gives all that it holds anew, above all versions of before, and in
+// A restored store assigns new versions to all resources, above all earlier ones and in
 // the same order.
-func TestBeginSpace(t *testing.T) {
+func TestStartTokenSpace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, space := &Store{}, uint32(1)
 		for i := range rapid.IntRange(0, 30).Draw(t, "changes") {
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
-				space += uint32(rapid.IntRange(0, 2).Draw(t, "spaces")) // 0: of the present space, by a mistake
+				space += uint32(rapid.IntRange(0, 2).Draw(t, "spaces")) // 0: the current space, by mistake
 				s.StartTokenSpace(space)
 			}
 			service := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "service"))
@@ -240,18 +241,18 @@
 		seen := map[Version]bool{}
 		for service, resource := range s.Resources {
 			if resource.Version <= highest || resource.Version.TokenSpace() != space+1 || resource.Version >= s.Version || seen[resource.Version] {
-				t.Fatalf("%s: found %v of a store at %v, wanted one of its own above %v", service, resource.Version, s.Version, highest)
+				t.Fatalf("%s: found %v of a store at %v, wanted a unique one above %v", service, resource.Version, s.Version, highest)
 			}
 			if string(resource.Settings) != string(before.Resources[service].Settings) || before.Resources[service].Version > highest {
-				t.Fatalf("%s: found other settings, or a copy that changed", service)
+				t.Fatalf("%s: found other settings, or a clone that changed", service)
 			}
 			seen[resource.Version] = true
 		}
 	})
 }
 
-// A copy is a store of its own.
-func TestStoreCopy(t *testing.T) {
+// Changes of a clone do not change the original, and the other way around.
+func TestStoreClone(t *testing.T) {
 	s := storeOf(t)
 	before := string(mustMarshal(t, s))
 	c := s.Clone()
@@ -267,25 +268,25 @@
 	oldest := s.RecentChanges[0].ID
 	mustApply(t, s.Clone(), 1, put("z", "a", -1))
 	if s.RecentChanges[0].ID != oldest {
-		t.Errorf("found %q as the oldest remembered, wanted %q", s.RecentChanges[0].ID, oldest)
+		t.Errorf("found %q as the oldest recent change, wanted %q", s.RecentChanges[0].ID, oldest)
 	}
 	if empty := new(Store).Clone(); empty.Version != 0 || empty.Resources != nil {
-		t.Errorf("found %+v, wanted an empty copy", empty)
+		t.Errorf("found %+v, wanted an empty clone", empty)
 	}
 }
 
-func TestChangeCheck(t *testing.T) {
+func TestChangeValidate(t *testing.T) {
 	good := put("x", "a", 0)
 	if err := good.Validate(); err != nil {
 		t.Error(err)
 	}
-	for text, spoil := range map[string]func(*Change){
+	for text, invalidate := range map[string]func(*Change){
 		"id:":      func(c *Change) { c.ID = "" },
 		"service:": func(c *Change) { c.Service = "a b" },
 		"colour:":  func(c *Change) { c.Settings = json.RawMessage(`{"colour":1}`) },
 	} {
 		c := good
-		spoil(&c)
-		oneLine(t, c.Validate(), text, "found", "wanted")
+		invalidate(&c)
+		wantOneLine(t, c.Validate(), text, "found", "wanted")
 	}
 }
