--- a/cmd/otterspring/relay.go
+++ b/cmd/otterspring/relay.go
@@ -55,7 +55,7 @@
 		file, err := relay.LoadFile(path)
 		if err == nil {
 			fmt.Fprintf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
-				plural(len(file.Members), "member", "members"), plural(file.SnapshotsAtOnce, "snapshot", "snapshots"))
+				plural(len(file.Members), "member", "members"), plural(file.MaxSnapshotsInFlight, "snapshot", "snapshots"))
 		}
 		return err
 	})
@@ -114,10 +114,10 @@
 	fmt.Fprintf(out, "relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
 	fmt.Fprintf(out, "version %v, %d ms old\n", info.Version, info.AgeMS)
 	fmt.Fprintf(out, "%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
-		plural(int(info.Connections), "connection", "connections"), info.Counts.ConnectionsRefused)
+		plural(int(info.Connections), "connection", "connections"), info.Counts.ConnectionsRejected)
 	fmt.Fprintf(out, "%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
-		info.Counts.Polls, info.Counts.Empty, info.Counts.Deltas, info.Counts.Snapshots, info.SnapshotsNow, info.SnapshotsPeak,
-		info.Counts.Busy, info.Counts.Cut)
+		info.Counts.Polls, info.Counts.Empty, info.Counts.Deltas, info.Counts.Snapshots, info.SnapshotsInFlight, info.SnapshotsPeak,
+		info.Counts.Busy, info.Counts.WriteTimeouts)
 }
 
 // relayVerb is a verb that takes one word.
--- a/cmd/otterspring/relay_test.go
+++ b/cmd/otterspring/relay_test.go
@@ -79,7 +79,7 @@
 		{[]string{"relay", "check", writeRelayFile(t, nobody, nobody, "")}, 1, "relay.toml:5: members: found " + nobody + " twice"},
 		{[]string{"relay", "run", writeRelayFile(t, nobody, freeAddress(t), "dance = 1")}, 1, "relay.toml:6: dance: found a key that is not known"},
 		{[]string{"relay", "run", writeRelayFile(t, taken.Addr().String(), nobody, "")}, 1, "relay.toml: listen: listen tcp " + taken.Addr().String()},
-		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), foreign.Listener.Addr().String(), "")}, 1, `: found council "east", wanted "west"`},
+		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), foreign.Listener.Addr().String(), "")}, 1, `: found cluster "east", wanted "west"`},
 		{[]string{"relay", "status", nobody}, 1, "connection refused"},
 		{[]string{"relay", "status", "a b"}, 2, `found address "a b"`},
 		{[]string{"relay", "status", foreign.Listener.Addr().String()}, 1, "found no relay"},
--- a/internal/fleet/relay/admission.go
+++ b/internal/fleet/relay/admission.go
@@ -7,27 +7,27 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// admission is the bound on snapshots under way, with the names of those who were
-// told to come again.
-type admission struct {
-	decide   *configuration.Admission
-	deferred map[string]time.Duration // until when a subscriber counts as told
+// snapshotAdmission limits the snapshots in flight, and records the subscribers that got
+// a retry delay. Relay.mu guards it.
+type snapshotAdmission struct {
+	limiter  *configuration.Admission
+	deferred map[string]time.Duration // until when a subscriber's poll counts as a retry
 }
 
-// deferredFor is for how long a subscriber that was told to come again is expected.
-const deferredFor = 10 * time.Second
+// deferredTTL is how long a retry is expected.
+const deferredTTL = 10 * time.Second
 
-func newAdmission(places int) *admission {
+func newSnapshotAdmission(slots int) *snapshotAdmission {
 	settings := configuration.DefaultAdmissionSettings
-	settings.Slots = places
-	return &admission{decide: configuration.NewAdmission(settings), deferred: map[string]time.Duration{}}
+	settings.Slots = slots
+	return &snapshotAdmission{limiter: configuration.NewAdmission(settings), deferred: map[string]time.Duration{}}
 }
 
-// admit tells whether a subscriber is sent a snapshot now, and if not, after what
-// time it is to come again.
-func (a *admission) admit(now time.Duration, subscriber string) (bool, time.Duration) {
-	_, again := a.deferred[subscriber]
-	admitted, retry := a.decide.Admit(now, subscriber, again, rand.Float64())
+// admit reports whether a subscriber is sent a snapshot now; if not, it returns the
+// delay after which it is to retry.
+func (a *snapshotAdmission) admit(now time.Duration, subscriber string) (bool, time.Duration) {
+	_, isRetry := a.deferred[subscriber]
+	admitted, delay := a.limiter.Admit(now, subscriber, isRetry, rand.Float64())
 	if admitted {
 		delete(a.deferred, subscriber)
 		return true, 0
@@ -36,22 +36,22 @@
 		a.expire(now)
 	}
 	if len(a.deferred) < configuration.MaxSubscribers {
-		a.deferred[subscriber] = now + deferredFor
+		a.deferred[subscriber] = now + deferredTTL
 	}
-	return false, retry
+	return false, delay
 }
 
-// acknowledged takes that a subscriber holds a version of its own: it needs no
-// snapshot any more, whoever sent it.
-func (a *admission) acknowledged(subscriber string) {
-	a.decide.Release(subscriber)
+// acknowledged releases the slot of a subscriber that has a version: it needs no
+// snapshot any more, whichever relay sent it.
+func (a *snapshotAdmission) acknowledged(subscriber string) {
+	a.limiter.Release(subscriber)
 	delete(a.deferred, subscriber)
 }
 
-// expire forgets those who did not come again.
-func (a *admission) expire(now time.Duration) {
-	for subscriber, until := range a.deferred {
-		if until <= now {
+// expire removes the subscribers that did not retry.
+func (a *snapshotAdmission) expire(now time.Duration) {
+	for subscriber, expiry := range a.deferred {
+		if expiry <= now {
 			delete(a.deferred, subscriber)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/relay/cluster_test.go
@@ -0,0 +1,290 @@
+package relay
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/exec"
+	"os/signal"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"otterspring/internal/bootclock"
+	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/coordination/server"
+	proxy "otterspring/internal/lab/standin/relay"
+	"otterspring/internal/testkit"
+)
+
+// memberVariable has the file and the number of a cluster's member: this program then runs
+// that member instead of the tests.
+const memberVariable = "TEST_RELAY_MEMBER"
+
+func memberMain(argument string) int {
+	path, text, _ := strings.Cut(argument, " ")
+	number, err := strconv.ParseUint(text, 10, 64)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer stop()
+	var file *server.Config
+	if err == nil {
+		file, err = server.LoadConfig(path)
+	}
+	var member *server.Server
+	if err == nil {
+		member, err = server.Open(file, number, server.Bootstrap, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	}
+	if err == nil {
+		err = member.Run(ctx)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	return 0
+}
+
+// cluster is the coordination cluster that relays follow in a test: fake or real.
+type cluster interface {
+	// members returns the addresses for a relay's file.
+	members() []string
+	// put changes the settings of services and returns the version of the last.
+	put(tb testing.TB, settings string, services ...string) configuration.Version
+}
+
+// eachCluster runs a test with a fake cluster and with one of three processes.
+func eachCluster(t *testing.T, test func(t *testing.T, c cluster)) {
+	t.Helper()
+	t.Parallel()
+	t.Run("fake", func(t *testing.T) { t.Parallel(); test(t, newFakeCluster(t, "west#1")) })
+	t.Run("members", func(t *testing.T) { t.Parallel(); test(t, startCluster(t)) })
+}
+
+const clusterMembers = 3
+
+// realCluster is a cluster whose members are processes.
+type realCluster struct {
+	tb        testing.TB
+	addresses []string
+	processes []*exec.Cmd
+	client    *client.Client
+	created   map[string]bool
+	lastID    int
+}
+
+// startCluster starts the cluster west.
+func startCluster(tb testing.TB) *realCluster {
+	tb.Helper()
+	c := &realCluster{tb: tb, created: map[string]bool{}}
+	path := filepath.Join(tb.TempDir(), "council.toml")
+	text := "name = \"west\"\ndirectory = \"state\"\ntick = \"50ms\"\nlease = \"2s\"\nmargin = \"100ms\"\n"
+	for i := range clusterMembers {
+		c.addresses = append(c.addresses, testkit.UnusedAddress(tb, testNetwork))
+		text += fmt.Sprintf("[[member]]\nnumber = %d\naddress = %q\n", i+1, c.addresses[i])
+	}
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		tb.Fatal(err)
+	}
+	for i := range clusterMembers {
+		c.processes = append(c.processes, startChild(tb, fmt.Sprintf("%s.%d.log", path, i+1), fmt.Sprintf("%s=%s %d", memberVariable, path, i+1)))
+	}
+	c.client = client.NewClient("west", c.addresses)
+	tb.Cleanup(c.client.Close)
+	awaitCondition(tb, "members that report their version", func() bool {
+		able := c.do(client.Request{Kind: client.ReadState}).State.SupportedVersions
+		for i := range clusterMembers {
+			if able[uint64(i+1)] < coordination.StateVersion {
+				return false
+			}
+		}
+		return true
+	})
+	return c
+}
+
+func (c *realCluster) members() []string { return c.addresses }
+
+// do asks until there is an answer. A question of the same id is applied once.
+func (c *realCluster) do(question client.Request) *client.Response {
+	c.tb.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
+	defer cancel()
+	for {
+		answer, err := c.client.Do(ctx, question)
+		if err == nil {
+			return answer
+		}
+		if !errors.Is(err, client.ErrUnknownOutcome) || ctx.Err() != nil {
+			c.tb.Fatalf("%s: %v", question.Kind, err)
+		}
+	}
+}
+
+func (c *realCluster) put(tb testing.TB, settings string, services ...string) configuration.Version {
+	tb.Helper()
+	var version configuration.Version
+	for _, service := range services {
+		c.lastID++
+		change := &configuration.Change{ID: fmt.Sprint("change-", c.lastID), Service: service, Settings: json.RawMessage(settings)}
+		if !c.created[service] {
+			change.IfVersion, c.created[service] = new(configuration.Version), true
+		}
+		answer := c.do(client.Request{Kind: client.ChangeConfiguration, Change: change})
+		if answer.Rejection != "" || answer.Resource == nil {
+			tb.Fatalf("change of %s: %+v", service, answer)
+		}
+		version = answer.Resource.Version
+	}
+	return version
+}
+
+// leader returns the index of the leader.
+func (c *realCluster) leader() int {
+	c.tb.Helper()
+	answer := c.do(client.Request{Kind: client.ReadState})
+	return int(answer.Member) - 1
+}
+
+// startChild starts this program with an environment variable that makes it a relay or a
+// member, and ends it with the test.
+func startChild(tb testing.TB, log, variable string) *exec.Cmd {
+	tb.Helper()
+	out, err := os.Create(log)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	defer func() {
+		if err := out.Close(); err != nil {
+			tb.Error(err)
+		}
+	}()
+	child := exec.Command(os.Args[0])
+	child.Env = append(os.Environ(), variable)
+	child.Stdout, child.Stderr = out, out
+	child.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves no process
+	if err := child.Start(); err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		killChild(tb, child)
+		if !tb.Failed() {
+			return
+		}
+		text, err := os.ReadFile(log)
+		tb.Logf("%s: %s, %v", variable, text, err)
+	})
+	return child
+}
+
+// killChild ends a child process, if it has not ended, and waits for its end.
+func killChild(tb testing.TB, child *exec.Cmd) {
+	tb.Helper()
+	if child.ProcessState != nil {
+		return
+	}
+	if err := child.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		tb.Error(err)
+	}
+	if err := child.Wait(); err != nil {
+		if _, ok := errors.AsType[*exec.ExitError](err); !ok { // that it was killed is no error here
+			tb.Error(err)
+		}
+	}
+}
+
+// proxies connect a relay and the members of a cluster.
+type proxies []*proxy.Relay
+
+func startProxies(tb testing.TB, addresses []string) proxies {
+	tb.Helper()
+	var all proxies
+	for _, address := range addresses {
+		started, err := proxy.Start(func() string { return address })
+		if err != nil {
+			tb.Fatal(err)
+		}
+		tb.Cleanup(started.Close)
+		all = append(all, started)
+	}
+	return all
+}
+
+func (p proxies) addresses() (all []string) {
+	for _, one := range p {
+		all = append(all, one.Addr())
+	}
+	return all
+}
+
+// setBlocked blocks all traffic, or forwards it again.
+func (p proxies) setBlocked(tb testing.TB, blocked bool) {
+	tb.Helper()
+	for _, one := range p {
+		if err := one.Cut(blocked, blocked); err != nil {
+			tb.Fatal(err)
+		}
+	}
+}
+
+// A relay that is disconnected from the cluster reports its age, its subscribers move, and
+// once it is connected again it catches up.
+func TestDisconnectedFromCluster(t *testing.T) {
+	eachCluster(t, func(t *testing.T, c cluster) {
+		t.Helper()
+		first := c.put(t, settingsA, "a")
+		links := startProxies(t, c.members())
+		near, far := startProcess(t, "", links.addresses()...), startProcess(t, "", c.members()...)
+		near.awaitVersion(first)
+		far.awaitVersion(first)
+		subscribers := startSubscribers(t, 8, near.address, far.address)
+		subscribers.awaitVersion(t, first)
+		links.setBlocked(t, true)
+		disconnected := bootclock.Now()
+		second := c.put(t, settingsB, "a")
+		subscribers.awaitVersion(t, second)
+		stale := configuration.DefaultSubscriberSettings(2).StaleAfter
+		awaitCondition(t, "an age at which subscribers move", func() bool {
+			sent := bootclock.Now()
+			info, _ := near.info()
+			if least := (sent - disconnected).Milliseconds(); info.Version != first || info.AgeMS < least {
+				t.Fatalf("the disconnected relay has %v, %d ms old, wanted %v and %d at least", info.Version, info.AgeMS, first, least)
+			}
+			return info.AgeMS > stale.Milliseconds()
+		})
+		links.setBlocked(t, false)
+		near.awaitVersion(second)
+		awaitCondition(t, "an age that is low again", func() bool { info, _ := near.info(); return info.AgeMS < time.Second.Milliseconds() })
+		third := c.put(t, settingsA, "a")
+		subscribers.awaitVersion(t, third)
+		subscribers.awaitNearRelay(t)
+		subscribers.checkNoDecrease(t)
+	})
+}
+
+// The cluster's leader is killed: relays follow the other members, and changes reach all
+// subscribers.
+func TestKilledLeader(t *testing.T) {
+	t.Parallel()
+	c := startCluster(t)
+	first := c.put(t, settingsA, "a")
+	near, far := startProcess(t, "", c.members()...), startProcess(t, "", c.members()...)
+	near.awaitVersion(first)
+	far.awaitVersion(first)
+	subscribers := startSubscribers(t, 8, near.address, far.address)
+	subscribers.awaitVersion(t, first)
+	killChild(t, c.processes[c.leader()])
+	second := c.put(t, settingsB, "a")
+	subscribers.awaitVersion(t, second)
+	for _, r := range []*process{near, far} {
+		awaitCondition(t, "an age that is low again", func() bool { info, _ := r.info(); return info.AgeMS < time.Second.Milliseconds() })
+	}
+	subscribers.checkNoDecrease(t)
+}
--- a/internal/fleet/relay/encode.go
+++ b/internal/fleet/relay/encode.go
@@ -8,22 +8,22 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// encodeAnswer writes an answer as JSON. Settings go out as they came from the
-// council, which has checked them: json.Marshal would read all of them again.
-func encodeAnswer(to *bytes.Buffer, answer *configuration.PollResponse) error {
-	envelope := *answer
+// encodeResponse writes a response as JSON. It copies the settings as they came from the
+// cluster, which has validated them: json.Marshal would parse all of them again.
+func encodeResponse(to *bytes.Buffer, response *configuration.PollResponse) error {
+	envelope := *response
 	envelope.Update = nil
 	text, err := json.Marshal(&envelope)
 	if err != nil {
 		return err
 	}
-	if answer.Update == nil {
+	if response.Update == nil {
 		to.Write(text)
 		return nil
 	}
 	to.Write(bytes.TrimSuffix(text, []byte("}")))
 	to.WriteString(`,"update":`)
-	if err := encodeUpdate(to, answer.Update); err != nil {
+	if err := encodeUpdate(to, response.Update); err != nil {
 		return err
 	}
 	to.WriteByte('}')
--- a/internal/fleet/relay/encode_test.go
+++ b/internal/fleet/relay/encode_test.go
@@ -9,14 +9,14 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// Answers are read as what json.Marshal writes.
+// Responses are what json.Marshal writes, in another form at most.
 func TestEncodeAnswer(t *testing.T) {
 	t.Parallel()
 	resources := []configuration.Resource{
 		{Service: "a", Version: 1<<32 + 1, Settings: json.RawMessage(settingsA)},
 		{Service: `quo"ted\<&>`, Version: 7, Settings: json.RawMessage(`{}`)},
 	}
-	for _, answer := range []configuration.PollResponse{
+	for _, response := range []configuration.PollResponse{
 		{},
 		{Region: "west", AgeMS: 12, ErrorCode: configuration.CodeBusy, RetryAfterMS: 50},
 		{Region: "west", ErrorCode: configuration.CodeInvalid, Reason: "found \"x\"\n"},
@@ -26,10 +26,10 @@
 		{Region: `we"st`, AgeMS: 3, Update: &configuration.Update{From: 1, Version: 9, Resources: resources}},
 	} {
 		var text bytes.Buffer
-		if err := encodeAnswer(&text, &answer); err != nil {
+		if err := encodeResponse(&text, &response); err != nil {
 			t.Fatal(err)
 		}
-		plain, err := json.Marshal(answer)
+		plain, err := json.Marshal(response)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/relay/feed.go
+++ b/internal/fleet/relay/feed.go
@@ -8,60 +8,61 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// feed is what a relay has of its council: the newest resources, and when it last
-// heard that there are no newer ones.
+// feed is the configuration that a relay has received from the cluster, with the time up
+// to which it is complete, and the polls that wait for a newer version. It may be used
+// by several goroutines.
 type feed struct {
-	mu    sync.RWMutex
-	cache configuration.Cache
-	heard hearing
+	mu          sync.RWMutex
+	cache       configuration.Cache
+	lastContact contact
 
-	waitersMu sync.Mutex // taken after mu
+	waitersMu sync.Mutex // locked after mu
 	waiters   map[*waiter]struct{}
 }
 
-// hearing is when a council was last heard: the newest call that was answered was
-// sent at that time. It is kept with what was held then, since an old version must not
-// be told with the age of a newer one.
-type hearing struct {
-	at    time.Duration
-	known bool // whether one ever was
+// contact is the last contact with the cluster: when the newest call that got a response
+// was sent. It goes with the version that was cached then, since a response must not
+// give an old version the age of a newer one.
+type contact struct {
+	at    time.Duration // by bootclock
+	known bool          // whether there was any
 }
 
-// measuredAge is how long ago a council was heard; 0 where none ever was.
-func (h hearing) age(now time.Duration) time.Duration {
-	if !h.known {
+// age returns the time since the contact; 0 if there was none.
+func (c contact) age(now time.Duration) time.Duration {
+	if !c.known {
 		return 0
 	}
-	return max(0, now-h.at)
+	return max(0, now-c.at)
 }
 
-// waiter is a poll that waits for news. Its handler is its owner, and takes it out.
+// waiter is a poll that waits for a newer version. Its handler owns and removes it.
 type waiter struct {
 	poll   *configuration.Poll
-	behind bool          // any newer version is news
-	news   chan struct{} // takes one
+	behind bool          // woken by any newer version
+	wakeup chan struct{} // of capacity 1
 }
 
 func newFeed() *feed { return &feed{waiters: map[*waiter]struct{}{}} }
 
-// take takes the answer to a call that was sent at a time. It wakes the polls for
-// which there is news.
-func (f *feed) take(sent time.Duration, update configuration.Update) error {
+// apply applies the response to a call that was sent at a time. It wakes the polls for
+// which there is an update. Its error is the one of configuration.Cache.Apply.
+func (f *feed) apply(sent time.Duration, update configuration.Update) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.cache.Version()
-	taken, err := f.cache.Apply(update)
+	changes, err := f.cache.Apply(update)
 	if err != nil {
 		return err
 	}
-	f.heard = hearing{at: max(f.heard.at, sent), known: true}
+	f.lastContact = contact{at: max(f.lastContact.at, sent), known: true}
 	if f.cache.Version() != before {
-		f.wake(taken.Updated, update.IsSnapshot())
+		f.wake(changes.Updated, update.IsSnapshot())
 	}
 	return nil
 }
 
-// wake wakes the polls that subscribe to something that has changed, or all of them.
+// wake wakes the polls that subscribe to a changed resource, or all of them.
 func (f *feed) wake(changed []configuration.Resource, all bool) {
 	f.waitersMu.Lock()
 	defer f.waitersMu.Unlock()
@@ -70,13 +71,13 @@
 			continue
 		}
 		select {
-		case w.news <- struct{}{}:
-		default: // it has been woken, and not looked yet
+		case w.wakeup <- struct{}{}:
+		default: // woken already, and not running yet
 		}
 	}
 }
 
-// subscribes tells whether a subscription has one of the resources.
+// subscribes reports whether a subscription has one of the resources.
 func subscribes(subscription configuration.Subscription, resources []configuration.Resource) bool {
 	if subscription == nil {
 		return true
@@ -89,69 +90,67 @@
 	return false
 }
 
-// forget takes a poll out that does not wait any more.
-func (f *feed) forget(w *waiter) {
+// removeWaiter removes a poll that does not wait any more.
+func (f *feed) removeWaiter(w *waiter) {
 	f.waitersMu.Lock()
 	defer f.waitersMu.Unlock()
 	delete(f.waiters, w)
 }
 
-// enter has a poll woken when there is news. The caller holds mu, so that no news
-// comes between its look and this.
-func (f *feed) enter(w *waiter, behind bool) {
+// addWaiter adds a poll that is woken for an update. The caller has locked mu, so that no
+// version comes between its view and this.
+func (f *feed) addWaiter(w *waiter, behind bool) {
 	f.waitersMu.Lock()
 	defer f.waitersMu.Unlock()
 	w.behind = behind
 	f.waiters[w] = struct{}{}
 }
 
-// state is the newest version that is held, and when the council was heard that
-// has no newer one.
-func (f *feed) state() (configuration.Version, hearing) {
+// state returns the cached version and the last contact.
+func (f *feed) state() (configuration.Version, contact) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.cache.Version(), f.heard
+	return f.cache.Version(), f.lastContact
 }
 
-// standing is how a poll stands to what the feed holds.
-type standing int
+// pollState is what the feed has for a poll.
+type pollState int
 
 const (
-	notReady      standing = iota // nothing is held yet
-	behind                        // the subscriber holds a newer version
-	current                       // there is nothing that the subscriber lacks
-	lacksDelta                    // some of its resources have changed
-	lacksSnapshot                 // it holds nothing that a delta could begin at
+	feedNotReady  pollState = iota // there was no contact with the cluster yet
+	feedBehind                     // the subscriber has a newer version
+	upToDate                       // the subscriber has the newest version of its services
+	needsDelta                     // some of its services have changed
+	needsSnapshot                  // it has no version that a delta could start from
 )
 
-// view is what the feed has for a poll.
-type view struct {
-	stands standing
-	update configuration.Update // that answers the poll, if it may be answered
-	heard  hearing              // of what is held
+// feedView is a feed's state as seen by a poll.
+type feedView struct {
+	state   pollState
+	update  configuration.Update // for the poll, if the state is one of the last three
+	contact contact              // that goes with the update's version
 }
 
-// look tells how a poll stands. One that lacks nothing is entered among those that
-// wait.
-func (f *feed) look(w *waiter) view {
+// view returns the state for a poll. A poll that needs no update becomes a waiter.
+func (f *feed) view(w *waiter) feedView {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	held := f.cache.Version()
+	cached := f.cache.Version()
 	switch {
-	case !f.heard.known:
-		return view{stands: notReady}
-	case w.poll.Version > held:
-		f.enter(w, true)
-		return view{stands: behind, heard: f.heard}
+	case !f.lastContact.known:
+		return feedView{state: feedNotReady}
+	case w.poll.Version > cached:
+		f.addWaiter(w, true)
+		return feedView{state: feedBehind, contact: f.lastContact}
 	}
-	seen := view{stands: current, update: f.cache.UpdateSince(w.poll.Version, w.poll.Services), heard: f.heard}
+	view := feedView{state: upToDate, update: f.cache.UpdateSince(w.poll.Version, w.poll.Services), contact: f.lastContact}
 	switch {
-	case held != 0 && seen.update.IsSnapshot():
-		seen.stands = lacksSnapshot
-	case len(seen.update.Resources) > 0:
-		seen.stands = lacksDelta
+	case cached != 0 && view.update.IsSnapshot():
+		view.state = needsSnapshot
+	case len(view.update.Resources) > 0:
+		view.state = needsDelta
 	default:
-		f.enter(w, false)
+		f.addWaiter(w, false)
 	}
-	return seen
+	return view
 }
--- a/internal/fleet/relay/file.go
+++ b/internal/fleet/relay/file.go
@@ -9,58 +9,62 @@
 	"otterspring/internal/strictfile"
 )
 
-// File is a relay's file.
+// File is a relay's settings, in TOML. LoadFile sets the defaults and validates.
 type File struct {
-	Path string
-	// Region is the name of the council that is followed, Members are where its
-	// members listen.
+	Path string // of the file
+	// Region is the name of the coordination cluster that is followed, Members are the
+	// addresses of its members.
 	Region  string   `toml:"region" need:"true"`
 	Members []string `toml:"members" need:"true" max:"7"`
-	// Zone is the one whose sidecars are served, Name this relay's own in it, and
-	// Listen where the sidecars reach it.
+	// Zone is the zone whose sidecars are served, Name the relay's name in it, and Listen
+	// the address for the sidecars.
 	Zone   string `toml:"zone" need:"true"`
 	Name   string `toml:"name" need:"true"`
 	Listen string `toml:"listen" need:"true"`
-	// Connections is how many are open at a time: a further one is reset.
-	Connections int `toml:"connections" min:"1" max:"16384"`
-	// SnapshotsAtOnce is how many snapshots may be sent and not acknowledged yet.
-	SnapshotsAtOnce int `toml:"snapshots_at_once" min:"1" max:"1024"`
-	// Drain is the time over which the subscribers are handed on at the end.
-	Drain time.Duration `toml:"drain" min:"0s" max:"1m"`
-	// WriteTimeout is for how long a subscriber may take to read an answer.
+	// MaxConnections limits the open connections: a further one is reset. Default
+	// defaultMaxConnections.
+	MaxConnections int `toml:"connections" min:"1" max:"16384"`
+	// MaxSnapshotsInFlight limits the snapshots that are sent and not acknowledged yet.
+	// Default configuration.DefaultAdmissionSettings.Slots.
+	MaxSnapshotsInFlight int `toml:"snapshots_at_once" min:"1" max:"1024"`
+	// DrainTime is the time over which the subscribers are moved to other relays at the
+	// end. Default 2 s.
+	DrainTime time.Duration `toml:"drain" min:"0s" max:"1m"`
+	// WriteTimeout is how long a subscriber may take to read a response. Default 5 s.
 	WriteTimeout time.Duration `toml:"write_timeout" min:"100ms" max:"1m"`
 }
 
-// defaultConnections bears a zone of 684 subscribers and those of a second zone
-// whose relay has failed, several times over.
-const defaultConnections = 4096
+// defaultMaxConnections is several times a zone of 684 subscribers and those of a second
+// zone whose relay has failed.
+const defaultMaxConnections = 4096
 
-// LoadFile reads a relay's file and checks it whole.
+// LoadFile reads, parses and validates a relay's file. Its error is a *strictfile.Error, or
+// the one of reading the file.
 func LoadFile(path string) (*File, error) {
-	f := &File{
-		Path:            path,
-		Connections:     defaultConnections,
-		SnapshotsAtOnce: configuration.DefaultAdmissionSettings.Slots,
-		Drain:           2 * time.Second,
-		WriteTimeout:    5 * time.Second,
+	file := &File{
+		Path:                 path,
+		MaxConnections:       defaultMaxConnections,
+		MaxSnapshotsInFlight: configuration.DefaultAdmissionSettings.Slots,
+		DrainTime:            2 * time.Second,
+		WriteTimeout:         5 * time.Second,
 	}
 	text, err := strictfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	lines, faults := strictfile.DecodeAll(path, text, f)
+	lines, faults := strictfile.DecodeAll(path, text, file)
 	if len(faults) > 0 {
 		return nil, faults[0]
 	}
-	if fault := f.check(); fault != nil {
+	if fault := file.validate(); fault != nil {
 		fault.File, fault.Line = path, lines[fault.Key]
 		return nil, fault
 	}
-	return f, nil
+	return file, nil
 }
 
-// validate finds what the bounds of single keys don't show.
-func (f *File) check() *strictfile.Error {
+// validate checks what the limits of single keys don't.
+func (f *File) validate() *strictfile.Error {
 	names := []struct{ key, value string }{{"region", f.Region}, {"zone", f.Zone}, {"name", f.Name}}
 	for _, name := range names {
 		if configuration.ValidateName(name.key, name.value) != nil {
@@ -69,7 +73,7 @@
 		}
 	}
 	if len(f.Members) == 0 {
-		return &strictfile.Error{Key: "members", Found: "none", Wanted: "the address of each member of the council"}
+		return &strictfile.Error{Key: "members", Found: "none", Wanted: "the address of each member of the cluster"}
 	}
 	seen := map[string]bool{}
 	for _, address := range append([]string{f.Listen}, f.Members...) {
@@ -82,7 +86,7 @@
 		case err != nil || parsed.Port() == 0:
 			return &strictfile.Error{Key: key, Found: fmt.Sprintf("%.80q", address), Wanted: "an IP address and a port"}
 		case seen[parsed.String()]:
-			return &strictfile.Error{Key: key, Found: parsed.String() + " twice", Wanted: "an address of its own for this relay and each member"}
+			return &strictfile.Error{Key: key, Found: parsed.String() + " twice", Wanted: "different addresses for this relay and each member"}
 		}
 		seen[parsed.String()] = true
 	}
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -16,155 +16,161 @@
 	"otterspring/internal/logs"
 )
 
-// Times of the calls to the council. With them what is held is at most 0.95 s old
-// while one member falls silent and another answers: a call that waited in full, one
-// that was given up, and the next, which does not wait.
+// Times of the calls to the cluster. They limit the age of the configuration to 0.95 s
+// while one member becomes unresponsive and another responds: a call that waited in
+// full, one that timed out, and the next, which does not wait.
 const (
-	followWait   = 350 * time.Millisecond // for how long a call waits for news
-	callGrace    = 250 * time.Millisecond // how much longer its answer may take
-	maxCallGrace = 2 * time.Second        // once all members have failed several times
-	memberPause  = 20 * time.Millisecond  // mean, before the next member is asked
-	roundPause   = 200 * time.Millisecond // mean, once all members have failed
-	idleCall     = time.Minute            // until an unused connection to a member is closed
+	followWait         = 350 * time.Millisecond // how long a call waits for an update
+	minResponseTimeout = 250 * time.Millisecond // how much longer its response may take
+	maxResponseTimeout = 2 * time.Second        // once all members have failed several times
+	memberBackoff      = 20 * time.Millisecond  // mean, before the next member is called
+	roundBackoff       = 200 * time.Millisecond // mean, once all members have failed
+	idleConnTimeout    = time.Minute            // of an unused connection to a member
 )
 
-// ForeignError is a member of another council than the one that is wanted.
-type ForeignError struct {
-	File, Address, Found, Wanted string
+// errNoUpdate is a member's response without an update.
+var errNoUpdate = errors.New("found a response without an update, wanted one")
+
+// WrongClusterError is a member of another cluster than the configured one.
+type WrongClusterError struct {
+	File, Address string // of the relay, and of the member
+	Got, Want     string // names, with the cluster's number after # once it is known
 }
 
-func (e *ForeignError) Error() string {
-	return fmt.Sprintf("%s: members: %s: found council %q, wanted %q", e.File, e.Address, e.Found, e.Wanted)
+// Error returns one line with the place in the relay's file.
+func (e *WrongClusterError) Error() string {
+	return fmt.Sprintf("%s: members: %s: found cluster %q, wanted %q", e.File, e.Address, e.Got, e.Want)
 }
 
-// follower follows the council into a feed. It belongs to one goroutine.
+// follower copies the cluster's configuration into a feed. It belongs to the goroutine
+// that calls run.
 type follower struct {
-	file    *File
-	feed    *feed
-	log     *slog.Logger
-	client  http.Client
-	council string // name and number of the council that answered, empty at first
-	member  int    // index of the one that is asked
-	settled bool   // it has answered the call before
-	failed  int    // calls in a row that failed
+	file     *File
+	feed     *feed
+	log      *slog.Logger
+	client   http.Client
+	cluster  string // name and number of the cluster that responded, empty at first
+	member   int    // index of the current one
+	settled  bool   // the member has responded to the previous call
+	failures int    // consecutive failed calls
 }
 
 func newFollower(file *File, feed *feed, log *slog.Logger) *follower {
+	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout}
 	return &follower{
 		file: file, feed: feed, log: log, member: rand.IntN(len(file.Members)),
-		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleCall}},
+		client: http.Client{Transport: transport},
 	}
 }
 
-// run follows until ctx ends. It returns an error where the first council that
-// answers is another one.
+// run follows the cluster until ctx ends. It returns a *WrongClusterError if the first
+// cluster that responds is another one.
 func (f *follower) run(ctx context.Context) error {
 	defer f.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		address := f.file.Members[f.member]
 		err := f.call(ctx, address)
 		if err == nil {
-			f.succeeded(address)
+			f.handleSuccess(address)
 			continue
 		}
-		var foreign *ForeignError
-		if errors.As(err, &foreign) && f.council == "" {
-			return foreign
+		if wrong, ok := errors.AsType[*WrongClusterError](err); ok && f.cluster == "" {
+			return wrong
 		}
 		if ctx.Err() == nil {
-			f.fails(ctx, address, err)
+			f.handleFailure(ctx, address, err)
 		}
 	}
 	return nil
 }
 
-// call asks one member once for what is newer than what is held. The first call to
-// a member does not wait, so that one that stands still is noticed soon.
+// call calls one member once for what is newer than the cached version. The first call
+// to a member does not wait, so that an unresponsive one is detected soon.
 func (f *follower) call(ctx context.Context, address string) error {
-	held, _ := f.feed.state()
-	question := client.Request{Kind: client.WatchConfiguration, Version: held}
+	version, _ := f.feed.state()
+	request := client.Request{Kind: client.WatchConfiguration, Version: version}
 	if f.settled {
-		question.WaitMS = int(followWait.Milliseconds())
+		request.WaitMS = int(followWait.Milliseconds())
 	}
-	timeout := time.Duration(question.WaitMS)*time.Millisecond + f.grace()
+	timeout := time.Duration(request.WaitMS)*time.Millisecond + f.responseTimeout()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := bootclock.Now()
-	answer, err := client.Call(ctx, &f.client, address, f.file.Region, question)
+	response, err := client.Call(ctx, &f.client, address, f.file.Region, request)
 	if err != nil {
 		return err
 	}
-	return f.take(address, sent, answer)
+	return f.apply(address, sent, response)
 }
 
-// grace is how much longer than its wait a call may take: more each time that all
-// members have failed, so that a large answer on a slow network arrives in the end.
-func (f *follower) grace() time.Duration {
-	rounds := min(f.failed/len(f.file.Members), 8)
-	return min(callGrace<<rounds, maxCallGrace)
+// responseTimeout is how much longer than its wait a call may take. It doubles each time
+// that all members have failed, for a large response on a slow network.
+func (f *follower) responseTimeout() time.Duration {
+	rounds := min(f.failures/len(f.file.Members), 8)
+	return min(minResponseTimeout<<rounds, maxResponseTimeout)
 }
 
-func (f *follower) take(address string, sent time.Duration, answer *client.Response) error {
-	region, _, _ := strings.Cut(answer.Cluster, "#")
+// apply applies a member's response to the feed.
+func (f *follower) apply(address string, sent time.Duration, response *client.Response) error {
+	region, _, _ := strings.Cut(response.Cluster, "#")
 	if region != f.file.Region {
-		return f.foreign(address, region, f.file.Region)
+		return f.wrongCluster(address, region, f.file.Region)
 	}
 	switch {
-	case answer.Unavailable != "":
-		return errors.New(answer.Unavailable)
-	case answer.Rejection != "":
-		return errors.New(answer.Rejection)
-	case answer.Update == nil:
-		return errors.New("found an answer without an update, wanted one")
+	case response.Unavailable != "":
+		return errors.New(response.Unavailable)
+	case response.Rejection != "":
+		return errors.New(response.Rejection)
+	case response.Update == nil:
+		return errNoUpdate
 	}
-	if err := f.checkCouncil(address, answer); err != nil {
+	if err := f.checkCluster(address, response); err != nil {
 		return err
 	}
-	if err := f.feed.take(sent, *answer.Update); err != nil {
+	if err := f.feed.apply(sent, *response.Update); err != nil {
 		return err
 	}
-	f.council = answer.Cluster
+	f.cluster = response.Cluster
 	return nil
 }
 
-// checkCouncil refuses a second council that was given the same name by mistake. A
-// council that was restored has a new number, too, and versions of a newer space.
-func (f *follower) checkCouncil(address string, answer *client.Response) error {
-	held, _ := f.feed.state()
-	if f.council == "" || answer.Cluster == f.council || answer.Update.Version.TokenSpace() > held.TokenSpace() {
+// checkCluster rejects a second cluster that was given the same name by mistake. A
+// cluster that was restored has a new number, too, but versions of a newer token space.
+func (f *follower) checkCluster(address string, response *client.Response) error {
+	version, _ := f.feed.state()
+	if f.cluster == "" || response.Cluster == f.cluster || response.Update.Version.TokenSpace() > version.TokenSpace() {
 		return nil
 	}
-	return f.foreign(address, answer.Cluster, f.council)
+	return f.wrongCluster(address, response.Cluster, f.cluster)
 }
 
-func (f *follower) foreign(address, found, wanted string) error {
-	return &ForeignError{File: f.file.Path, Address: address, Found: found, Wanted: wanted}
+func (f *follower) wrongCluster(address, got, want string) error {
+	return &WrongClusterError{File: f.file.Path, Address: address, Got: got, Want: want}
 }
 
-func (f *follower) succeeded(address string) {
+func (f *follower) handleSuccess(address string) {
 	if !f.settled {
-		version, _ := f.feed.state()
-		f.log.Info(fmt.Sprintf("follows %s at %s, version %v", f.council, address, version), logs.Cause("follows"))
+		f.log.Info("following cluster", "cluster", f.cluster, "address", address, "version", f.versionText())
 	}
-	f.settled, f.failed = true, 0
+	f.settled, f.failures = true, 0
 }
 
-// fails turns to the next member after a pause.
-func (f *follower) fails(ctx context.Context, address string, err error) {
+// handleFailure turns to the next member after a backoff.
+func (f *follower) handleFailure(ctx context.Context, address string, err error) {
 	f.settled = false
-	f.failed++
+	f.failures++
 	f.member = (f.member + 1) % len(f.file.Members)
 	level := slog.LevelDebug
-	var foreign *ForeignError
-	if errors.As(err, &foreign) {
-		level = slog.LevelWarn // an operator's mistake, whatever the other members say
+	if _, ok := errors.AsType[*WrongClusterError](err); ok {
+		level = slog.LevelWarn // a configuration mistake, whatever the other members respond
 	}
-	f.log.Log(ctx, level, fmt.Sprintf("%s: %v", address, err), logs.Cause("member "+address))
-	mean := memberPause
-	if f.failed%len(f.file.Members) == 0 {
-		mean = roundPause
-		f.log.Warn(fmt.Sprintf("found no member of council %q that answers and has a leader, wanted one of %v: goes on by version %s; the last said: %v",
-			f.file.Region, f.file.Members, f.heldText(), err), logs.Cause("no member"))
+	//nolint:sloglint // the cause is an attribute: the rate of these lines is limited per member
+	f.log.Log(ctx, level, "cluster member failed", logs.Cause("member "+address), slog.String("address", address), slog.Any("error", err))
+	mean := memberBackoff
+	if f.failures%len(f.file.Members) == 0 {
+		mean = roundBackoff
+		f.log.Warn("no cluster member with a leader responds; serving the cached version",
+			"cluster", f.file.Region, "members", f.file.Members, "version", f.versionText(), "error", err)
 	}
 	select {
 	case <-ctx.Done():
@@ -172,12 +178,13 @@
 	}
 }
 
-func (f *follower) heldText() string {
-	held, heard := f.feed.state()
-	if !heard.known {
+// versionText returns the cached version for the log.
+func (f *follower) versionText() string {
+	version, last := f.feed.state()
+	if !last.known {
 		return "none"
 	}
-	return configuration.Version.String(held)
+	return configuration.Version.String(version)
 }
 
 // jitter draws from half of a mean to one and a half of it.
--- a/internal/fleet/relay/format_test.go
+++ b/internal/fleet/relay/format_test.go
@@ -41,7 +41,7 @@
 	want := &File{
 		Path: "testdata/relay.toml", Region: "west", Members: []string{"127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003"},
 		Zone: "west-1", Name: "r1", Listen: "127.0.0.1:7000",
-		Connections: 100, SnapshotsAtOnce: 10, Drain: 3 * time.Second, WriteTimeout: 4 * time.Second,
+		MaxConnections: 100, MaxSnapshotsInFlight: 10, DrainTime: 3 * time.Second, WriteTimeout: 4 * time.Second,
 	}
 	if !reflect.DeepEqual(file, want) {
 		t.Errorf("found %+v, wanted %+v", file, want)
@@ -71,8 +71,8 @@
 	}
 }
 
-// answerTo sends a request and returns the bytes of its answer.
-func answerTo(t *testing.T, address, request string) []byte {
+// responseTo sends a request and returns the bytes of its response.
+func responseTo(t *testing.T, address, request string) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -94,14 +94,14 @@
 	return got.Bytes()
 }
 
-// What a relay answers to each kind of request stays the same byte for byte: paths,
+// What a relay responds to each kind of request stays the same byte for byte: paths,
 // headers, status and body.
 func TestRecordedExchanges(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "mail", "orders")
-	r := start(t, testFile(council.address()))
-	r.holds(version)
+	cluster := newFakeCluster(t, "west#1")
+	version := cluster.put(t, settingsA, "mail", "orders")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(version)
 	post := func(body string) string {
 		return "POST /v1/configuration HTTP/1.1\r\nHost: relay\r\nContent-Type: application/json\r\nContent-Length: " +
 			jsonNumber(len(body)) + "\r\n\r\n" + body
@@ -118,10 +118,10 @@
 		{"poll-method.http", "GET /v1/configuration HTTP/1.1\r\nHost: relay\r\n\r\n"},
 		{"path.http", "GET /v1/other HTTP/1.1\r\nHost: relay\r\n\r\n"},
 	} {
-		await(t, "the end of the connection before", func() bool { return r.listener.open.Load() == 0 }) // they are counted in the state
-		compareRecorded(t, exchange.name, answerTo(t, r.Address(), exchange.request))
+		awaitCondition(t, "the end of the previous connection", func() bool { return r.listener.open.Load() == 0 }) // Info counts it
+		compareRecorded(t, exchange.name, responseTo(t, r.Address(), exchange.request))
 	}
-	if !bytes.Contains(answerTo(t, r.Address(), post(`{`)), []byte("HTTP/1.1 400 Bad Request")) {
+	if !bytes.Contains(responseTo(t, r.Address(), post(`{`)), []byte("HTTP/1.1 400 Bad Request")) {
 		t.Error("a poll that is no JSON: found another status, wanted 400")
 	}
 }
@@ -134,16 +134,16 @@
 	return string(text)
 }
 
-// A relay asks a member for the configuration in the form that members of other
-// versions read, and reads what they answer.
-func TestRecordedCallsToTheCouncil(t *testing.T) {
+// A relay requests the configuration in the form that members of other versions read, and
+// reads their responses.
+func TestRecordedCallsToTheCluster(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	answer, err := os.ReadFile("testdata/council-answer.json")
+	response, err := os.ReadFile("testdata/cluster-response.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,24 +164,24 @@
 				return
 			}
 			requests <- bytes.Clone(got.Bytes())
-			head := "HTTP/1.1 200 OK\r\nContent-Length: " + jsonNumber(len(answer)) + "\r\n\r\n"
-			if _, err := io.WriteString(conn, head+string(answer)); err != nil {
+			head := "HTTP/1.1 200 OK\r\nContent-Length: " + jsonNumber(len(response)) + "\r\n\r\n"
+			if _, err := io.WriteString(conn, head+string(response)); err != nil {
 				return
 			}
 		}
 	}()
-	r := start(t, testFile(listener.Addr().String()))
+	r := startRelay(t, newTestFile(listener.Addr().String()))
 	for _, name := range []string{"follow-first.http", "follow-next.http"} {
 		select {
 		case request := <-requests:
 			compareRecorded(t, name, request)
-		case <-time.After(patience):
+		case <-time.After(hangTimeout):
 			t.Fatal("the relay made no call")
 		}
 	}
-	r.holds(configuration.NewVersion(1, 2))
+	r.awaitVersion(configuration.NewVersion(1, 2))
 	got := poll(t, r.Address(), configuration.Poll{})
 	if got.Update == nil || len(got.Update.Resources) != 2 || !strings.Contains(string(got.Update.Resources[0].Settings), "quota-per-s") {
-		t.Errorf("found %+v, wanted the resources of the recorded answer", got)
+		t.Errorf("found %+v, wanted the resources of the recorded response", got)
 	}
 }
--- a/internal/fleet/relay/load_test.go
+++ b/internal/fleet/relay/load_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,41 +20,41 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// Load on a relay in a process of its own, for docs/CAPACITY.md:
+// Load on a relay in a separate process, for docs/CAPACITY.md:
 //
 //	go test -run '^$' -bench Load -benchtime 1x -count 3 ./internal/fleet/relay
 const (
-	loadFor       = 6 * time.Second // a span that is measured
-	loadServices  = 360             // of the region
-	loadCalls     = 20              // that a subscriber subscribes to
-	loadWaitMS    = 1500
-	loadChanges   = 4 // a second
-	clockTick     = 10 * time.Millisecond
-	loadDialLimit = 64 // connections that are being made at a time
+	loadDuration   = 6 * time.Second // of a measurement
+	loadServices   = 360             // of the region
+	loadSubscribed = 20              // services per subscriber
+	loadWaitMS     = 1500
+	loadChanges    = 4 // per second
+	clockTick      = 10 * time.Millisecond
+	loadDialLimit  = 64 // connections that are established at a time
 )
 
 // loadedRelay is a relay under load.
 type loadedRelay struct {
 	*process
-	council     *standIn
+	cluster     *fakeCluster
 	first       configuration.Version
 	subscribers []*rawSubscriber
 	polls       atomic.Int64
 	bytes       atomic.Int64
 }
 
-// startLoad starts a relay with subscribers that are connected and hold all that
-// there is. Each subscribes to the first loadCalls services.
+// startLoad starts a relay with connected subscribers of the first loadSubscribed services,
+// which have the newest version.
 func startLoad(b *testing.B, subscribers int) *loadedRelay {
 	b.Helper()
-	council := newStandIn(b, "west#1")
+	cluster := newFakeCluster(b, "west#1")
 	var services []string
 	for i := range loadServices {
 		services = append(services, fmt.Sprintf("service-%03d", i))
 	}
-	r := &loadedRelay{council: council, first: council.put(b, settingsOf(b, 0), services...)}
-	r.process = startProcess(b, "connections = 16384\n", council.address())
-	r.holds(r.first)
+	r := &loadedRelay{cluster: cluster, first: cluster.put(b, settingsOf(b, 0), services...)}
+	r.process = startProcess(b, "connections = 16384\n", cluster.address())
+	r.awaitVersion(r.first)
 	limit := make(chan struct{}, loadDialLimit)
 	var connecting sync.WaitGroup
 	r.subscribers = make([]*rawSubscriber, subscribers)
@@ -61,27 +62,28 @@
 		connecting.Go(func() {
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			r.subscribers[i] = newRawSubscriber(b, r, fmt.Sprintf("subscriber-%05d", i), services[:loadCalls])
+			r.subscribers[i] = newRawSubscriber(b, r, fmt.Sprintf("subscriber-%05d", i), services[:loadSubscribed])
 		})
 	}
 	connecting.Wait()
 	return r
 }
 
-// poll has all subscribers poll until they are disconnected.
+// poll makes all subscribers poll until they are disconnected.
 func (r *loadedRelay) poll(version func(last configuration.Version) configuration.Version) {
 	for _, s := range r.subscribers {
 		go s.run(version)
 	}
 }
 
-// newest is the version that a subscriber acknowledges that takes all; nothing of one
-// that has just been restarted.
-func newest(last configuration.Version) configuration.Version { return last }
-func nothing(configuration.Version) configuration.Version     { return 0 }
+// latestVersion and noVersion are what subscribers acknowledge: the last version, and none
+// as after a restart.
+func latestVersion(last configuration.Version) configuration.Version { return last }
+func noVersion(configuration.Version) configuration.Version          { return 0 }
 
-// settingsOf are about 2 KB; number makes them differ.
+// settingsOf returns settings of about 2 KB that differ by a number.
 func settingsOf(b *testing.B, number int) string {
+	b.Helper()
 	settings := configuration.Settings{}
 	for i := 0; ; i++ {
 		settings.Tenants = append(settings.Tenants, configuration.Tenant{Name: fmt.Sprintf("tenant-%04d", i), Quota: float64(1000 + number)})
@@ -93,7 +95,7 @@
 	}
 }
 
-// rawSubscriber polls over one connection with as little work as it can.
+// rawSubscriber polls over one connection with little work per poll.
 type rawSubscriber struct {
 	relay  *loadedRelay
 	conn   net.Conn
@@ -103,13 +105,16 @@
 }
 
 func newRawSubscriber(b *testing.B, r *loadedRelay, name string, services []string) *rawSubscriber {
-	list, _ := json.Marshal(services)
+	b.Helper()
+	list, err := json.Marshal(services)
+	if err != nil {
+		b.Error(err)
+	}
 	s := &rawSubscriber{
 		relay:  r,
 		before: fmt.Sprintf(`{"region":"west","subscriber":%q,"services":%s,"version":`, name, list),
 		after:  fmt.Sprintf(`,"wait_ms":%d}`, loadWaitMS),
 	}
-	var err error
 	if s.conn, err = net.Dial("tcp", r.address); err != nil {
 		b.Error(err)
 		return s
@@ -123,12 +128,12 @@
 func (s *rawSubscriber) run(acknowledge func(last configuration.Version) configuration.Version) {
 	version := s.relay.first
 	for {
-		answer, err := s.poll(acknowledge(version))
+		response, err := s.poll(acknowledge(version))
 		if err != nil {
 			return
 		}
 		s.relay.polls.Add(1)
-		version = answer
+		version = response
 	}
 }
 
@@ -143,40 +148,38 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	received, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err
 	}
-	s.relay.bytes.Add(int64(len(answer)))
-	return versionOf(answer)
+	s.relay.bytes.Add(int64(len(received)))
+	return versionOf(received)
 }
 
-// versionOf finds the version of an answer's update without reading all of it.
-func versionOf(answer []byte) (configuration.Version, error) {
-	const key = `"version":`
-	at := bytes.Index(answer, []byte(key))
-	if at < 0 {
-		return 0, fmt.Errorf("found %.200s, wanted an update", answer)
+// versionOf finds the version of a response's update without parsing all of it.
+func versionOf(response []byte) (configuration.Version, error) {
+	_, digits, found := bytes.Cut(response, []byte(`"version":`))
+	if !found {
+		return 0, fmt.Errorf("found %.200s, wanted an update", response)
 	}
-	digits := answer[at+len(key):]
-	end := bytes.IndexAny(digits, ",}")
-	version, err := strconv.ParseUint(string(digits[:end]), 10, 64)
+	length := bytes.IndexAny(digits, ",}")
+	version, err := strconv.ParseUint(string(digits[:length]), 10, 64)
 	return configuration.Version(version), err
 }
 
-// spent is what the relay has used up to now.
-type spent struct {
+// usage is the relay's use of resources since its start.
+type usage struct {
 	cpu    time.Duration
 	counts Counts
 }
 
-func (r *loadedRelay) spent(b *testing.B) spent {
+func (r *loadedRelay) usage(b *testing.B) usage {
 	b.Helper()
 	info, _ := r.info()
-	return spent{cpu: processTime(b, r.command.Process.Pid), counts: info.Counts}
+	return usage{cpu: processTime(b, r.command.Process.Pid), counts: info.Counts}
 }
 
-// processTime is the processor time of a process.
+// processTime returns the processor time of a process.
 func processTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -184,12 +187,15 @@
 		b.Fatal(err)
 	}
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	user, _ := strconv.Atoi(fields[11])
-	system, _ := strconv.Atoi(fields[12])
+	user, userErr := strconv.Atoi(fields[11])
+	system, systemErr := strconv.Atoi(fields[12])
+	if err := errors.Join(userErr, systemErr); err != nil {
+		b.Fatal(err)
+	}
 	return time.Duration(user+system) * clockTick
 }
 
-// residentKB is the memory of a process.
+// residentKB returns the resident memory of a process.
 func residentKB(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -204,28 +210,28 @@
 	return kilobytes
 }
 
-// settle awaits that all subscribers have polled twice.
-func (r *loadedRelay) settle(b *testing.B) {
+// beforeAcknowledge awaits that all subscribers have polled twice.
+func (r *loadedRelay) awaitPolls(b *testing.B) {
 	b.Helper()
-	await(b, "polls", func() bool { return r.polls.Load() >= int64(2*len(r.subscribers)) })
+	awaitCondition(b, "polls", func() bool { return r.polls.Load() >= int64(2*len(r.subscribers)) })
 }
 
-// BenchmarkLoadIdle is what polls without news cost, and what a subscriber takes of
-// memory: the slope over the numbers of subscribers.
+// BenchmarkLoadIdle measures polls without updates, and the memory per subscriber by the
+// slope over the numbers of subscribers.
 func BenchmarkLoadIdle(b *testing.B) {
 	for _, subscribers := range []int{0, 500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprint("subscribers=", subscribers), func(b *testing.B) {
 			for range b.N {
 				r := startLoad(b, subscribers)
-				r.poll(newest)
-				r.settle(b)
-				before := r.spent(b)
-				time.Sleep(loadFor)
-				after := r.spent(b)
+				r.poll(latestVersion)
+				r.awaitPolls(b)
+				before := r.usage(b)
+				time.Sleep(loadDuration)
+				after := r.usage(b)
 				polls := float64(after.counts.Empty - before.counts.Empty)
 				used := after.cpu - before.cpu
-				b.ReportMetric(polls/loadFor.Seconds(), "polls/s")
-				b.ReportMetric(float64(used.Microseconds())/loadFor.Seconds(), "cpu-us/s")
+				b.ReportMetric(polls/loadDuration.Seconds(), "polls/s")
+				b.ReportMetric(float64(used.Microseconds())/loadDuration.Seconds(), "cpu-us/s")
 				if polls > 0 {
 					b.ReportMetric(float64(used.Microseconds())/polls, "cpu-us/poll")
 				}
@@ -235,28 +241,28 @@
 	}
 }
 
-// BenchmarkLoadChanges is what changes cost: those that all subscribers hear of, a
-// delta of 2 KB and its poll for each, and those that nobody does.
+// BenchmarkLoadChanges measures changes of a service that all subscribers follow, with a
+// delta of 2 KB and a poll for each, and of one that none follows.
 func BenchmarkLoadChanges(b *testing.B) {
 	for _, service := range []string{"service-000", "service-359"} {
 		b.Run("service="+service, func(b *testing.B) {
 			const subscribers = 684
 			for range b.N {
 				r := startLoad(b, subscribers)
-				r.poll(newest)
-				r.settle(b)
-				before, bytesBefore := r.spent(b), r.bytes.Load()
-				for i := range int(loadFor.Seconds() * loadChanges) {
-					r.council.put(b, settingsOf(b, i+1), service)
+				r.poll(latestVersion)
+				r.awaitPolls(b)
+				before, bytesBefore := r.usage(b), r.bytes.Load()
+				for i := range int(loadDuration.Seconds() * loadChanges) {
+					r.cluster.put(b, settingsOf(b, i+1), service)
 					time.Sleep(time.Second / loadChanges)
 				}
-				after := r.spent(b)
+				after := r.usage(b)
 				used := float64((after.cpu - before.cpu).Microseconds())
 				deltas := float64(after.counts.Deltas - before.counts.Deltas)
-				b.ReportMetric(used/loadFor.Seconds(), "cpu-us/s")
-				b.ReportMetric(float64(after.counts.Empty-before.counts.Empty)/loadFor.Seconds(), "polls/s")
-				b.ReportMetric(deltas/loadFor.Seconds(), "deltas/s")
-				b.ReportMetric(float64(r.bytes.Load()-bytesBefore)/loadFor.Seconds()/subscribers, "B/s/subscriber")
+				b.ReportMetric(used/loadDuration.Seconds(), "cpu-us/s")
+				b.ReportMetric(float64(after.counts.Empty-before.counts.Empty)/loadDuration.Seconds(), "polls/s")
+				b.ReportMetric(deltas/loadDuration.Seconds(), "deltas/s")
+				b.ReportMetric(float64(r.bytes.Load()-bytesBefore)/loadDuration.Seconds()/subscribers, "B/s/subscriber")
 				if deltas > 0 {
 					b.ReportMetric(used/deltas, "cpu-us/delta")
 				}
@@ -265,18 +271,18 @@
 	}
 }
 
-// BenchmarkLoadSnapshots is what a snapshot of loadCalls services of 2 KB costs, where
-// as many subscribers as have places ask for one all the time.
+// BenchmarkLoadSnapshots measures snapshots of loadSubscribed services of 2 KB, requested
+// continuously by half as many subscribers as there are slots.
 func BenchmarkLoadSnapshots(b *testing.B) {
 	for range b.N {
 		r := startLoad(b, configuration.DefaultAdmissionSettings.Slots/2)
-		r.poll(nothing)
-		r.settle(b)
-		before, bytesBefore := r.spent(b), r.bytes.Load()
-		time.Sleep(loadFor)
-		after := r.spent(b)
+		r.poll(noVersion)
+		r.awaitPolls(b)
+		before, bytesBefore := r.usage(b), r.bytes.Load()
+		time.Sleep(loadDuration)
+		after := r.usage(b)
 		snapshots := float64(after.counts.Snapshots - before.counts.Snapshots)
-		b.ReportMetric(snapshots/loadFor.Seconds(), "snapshots/s")
+		b.ReportMetric(snapshots/loadDuration.Seconds(), "snapshots/s")
 		b.ReportMetric(float64((after.cpu-before.cpu).Microseconds())/snapshots, "cpu-us/snapshot")
 		b.ReportMetric(float64(r.bytes.Load()-bytesBefore)/snapshots, "B/snapshot")
 	}
--- a/internal/fleet/relay/poll.go
+++ b/internal/fleet/relay/poll.go
@@ -15,180 +15,182 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-const (
-	// catchUpWait is for how long a relay that knows less than a subscriber waits to
-	// hear the same: one that is not cut off is behind for some milliseconds only.
-	catchUpWait = 200 * time.Millisecond
-)
+// catchUpWait is how long a relay that is behind a subscriber waits for the newer
+// version: one that is connected to the cluster is behind for some milliseconds only.
+const catchUpWait = 200 * time.Millisecond
 
-// buffers are those of polls and of answers.
+// buffers are those of polls and of responses.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxKeptBuffer bounds a buffer that is kept for another poll.
-const maxKeptBuffer = configuration.MaxPollBytes
+// maxPooledBuffer limits the buffers that are reused for another poll.
+const maxPooledBuffer = configuration.MaxPollBytes
 
 func releaseBuffer(buffer *bytes.Buffer) {
-	if buffer.Cap() <= maxKeptBuffer {
+	if buffer.Cap() <= maxPooledBuffer {
 		buffer.Reset()
 		buffers.Put(buffer)
 	}
 }
 
-// servePoll answers one poll of a subscriber.
+// servePoll serves one poll of a subscriber.
 func (r *Relay) servePoll(w http.ResponseWriter, req *http.Request) {
-	r.counts.polls.Add(1)
+	r.counters.update(func(counts *Counts) { counts.Polls++ })
 	poll, err := readPoll(w, req)
 	if err != nil {
-		answer := r.refuse(configuration.CodeInvalid, err.Error())
-		r.writeReply(w, http.StatusBadRequest, answer)
+		response := r.reject(configuration.CodeInvalid, err.Error())
+		r.writeResponse(w, http.StatusBadRequest, response)
 		return
 	}
-	answer := r.admitPoll(poll)
-	if answer == nil {
-		answer = r.waitForNews(req, poll)
+	response := r.admitPoll(poll)
+	if response == nil {
+		response = r.waitForUpdate(req, poll)
 	}
-	if answer == nil {
-		r.counts.gone.Add(1) // the subscriber has closed its connection
+	if response == nil {
+		r.counters.update(func(counts *Counts) { counts.Disconnected++ })
 		return
 	}
-	r.writeReply(w, http.StatusOK, answer)
+	r.writeResponse(w, http.StatusOK, response)
 }
 
-// readPoll reads a poll and checks it.
+// errTrailingData is a poll with more than one JSON value.
+var errTrailingData = errors.New("poll: found data after its end, wanted one object")
+
+// readPoll reads a poll and validates it.
 func readPoll(w http.ResponseWriter, req *http.Request) (*configuration.Poll, error) {
 	body := buffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(body)
 	if _, err := body.ReadFrom(http.MaxBytesReader(w, req.Body, configuration.MaxPollBytes)); err != nil {
-		var tooLarge *http.MaxBytesError
-		if errors.As(err, &tooLarge) {
+		if tooLarge, ok := errors.AsType[*http.MaxBytesError](err); ok {
 			return nil, fmt.Errorf("poll: found more than %d bytes, wanted %d at most", tooLarge.Limit, tooLarge.Limit)
 		}
 		return nil, fmt.Errorf("poll: %w", err)
 	}
 	poll := &configuration.Poll{}
-	decoder := json.NewDecoder(body) // a newer sidecar's poll may say more
+	decoder := json.NewDecoder(body) // unknown keys are those of a newer sidecar
 	if err := decoder.Decode(poll); err != nil {
 		return nil, fmt.Errorf("poll: %w", err)
 	}
-	if _, err := decoder.Token(); err != io.EOF {
-		return nil, errors.New("poll: found something behind its end, wanted one object")
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, errTrailingData
 	}
 	return poll, poll.Validate()
 }
 
-// admitPoll takes note of a poll. It returns a refusal, or nil where the poll may be
-// answered.
-func (r *Relay) admitPoll(poll *configuration.Poll) *reply {
+// admitPoll registers a poll. It returns a response with an error code, or nil if the poll
+// is admitted.
+func (r *Relay) admitPoll(poll *configuration.Poll) *pollResponse {
 	if poll.Region != r.file.Region {
-		return r.refuse(configuration.CodeWrongRegion, fmt.Sprintf("region: found %.80q, wanted %q", poll.Region, r.file.Region))
+		return r.reject(configuration.CodeWrongRegion, fmt.Sprintf("region: found %.80q, wanted %q", poll.Region, r.file.Region))
 	}
 	if r.isDraining() {
-		return r.refuse(configuration.CodeDraining, "")
+		return r.reject(configuration.CodeDraining, "")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.registry.ResolveDigest(poll) {
-		return r.refuse(configuration.CodeUnknownServices, "")
+		return r.reject(configuration.CodeUnknownServices, "")
 	}
 	if !r.registry.Record(bootclock.Now(), poll) {
-		return r.refuse(configuration.CodeFull, fmt.Sprintf("found %d subscribers, wanted %d at most", r.registry.Len(), configuration.MaxSubscribers))
+		return r.reject(configuration.CodeFull, fmt.Sprintf("found %d subscribers, wanted %d at most", r.registry.Len(), configuration.MaxSubscribers))
 	}
 	return nil
 }
 
-// expectedRetries is a poll that waits for its answer.
-type waiting struct {
+// pendingPoll is a poll that waits for its response. It belongs to its handler's
+// goroutine, but for the waiter, which the feed wakes.
+type pendingPoll struct {
 	waiter
-	start, end   time.Duration // it is answered at the end though there is no news
-	acknowledged bool          // its version has been taken note of
+	start        time.Duration // by bootclock
+	deadline     time.Duration // at which it gets an update without resources
+	acknowledged bool          // its version was acknowledged to the admission
 }
 
-// waitForNews waits until there is an answer to a poll; nil where the subscriber
-// has gone meanwhile.
-func (r *Relay) waitForNews(req *http.Request, poll *configuration.Poll) *reply {
-	wait := &waiting{waiter: waiter{poll: poll, news: make(chan struct{}, 1)}, start: bootclock.Now()}
-	defer r.feed.forget(&wait.waiter)
-	wait.end = wait.start + poll.Wait()
+// waitForUpdate waits until there is a response to a poll; nil if the subscriber has
+// disconnected meanwhile.
+func (r *Relay) waitForUpdate(req *http.Request, poll *configuration.Poll) *pollResponse {
+	pending := &pendingPoll{waiter: waiter{poll: poll, wakeup: make(chan struct{}, 1)}, start: bootclock.Now()}
+	defer r.feed.removeWaiter(&pending.waiter)
+	pending.deadline = pending.start + poll.Wait()
 	draining := r.draining
 	timer := time.NewTimer(configuration.MaxWait)
 	defer timer.Stop()
 	for {
 		now := bootclock.Now()
-		if draining == nil && now >= wait.end {
-			return r.refuse(configuration.CodeDraining, "")
+		if draining == nil && now >= pending.deadline {
+			return r.reject(configuration.CodeDraining, "")
 		}
-		answer, until := r.decide(wait, now)
-		if answer != nil {
-			return answer
+		response, until := r.decide(pending, now)
+		if response != nil {
+			return response
 		}
 		timer.Reset(until - now)
 		select {
-		case <-wait.news:
+		case <-pending.wakeup:
 		case <-timer.C:
 		case <-draining:
 			draining = nil
-			wait.end = min(wait.end, bootclock.Now()+time.Duration(rand.Float64()*float64(r.file.Drain)))
+			pending.deadline = min(pending.deadline, bootclock.Now()+time.Duration(rand.Float64()*float64(r.file.DrainTime)))
 		case <-req.Context().Done():
 			return nil
 		}
 	}
 }
 
-// decide returns the answer to a poll, or nil where it is to wait: until a time, or
-// until it is woken.
-func (r *Relay) decide(wait *waiting, now time.Duration) (answer *reply, until time.Duration) {
-	seen := r.feed.look(&wait.waiter)
-	switch seen.stands {
-	case notReady:
-		return r.refuse(configuration.CodeNotReady, ""), 0
-	case behind:
-		if until := wait.start + catchUpWait; now < until {
+// decide returns the response to a poll, or nil if it has to wait: until a time, or until
+// it is woken.
+func (r *Relay) decide(pending *pendingPoll, now time.Duration) (response *pollResponse, until time.Duration) {
+	view := r.feed.view(&pending.waiter)
+	switch view.state {
+	case feedNotReady:
+		return r.reject(configuration.CodeNotReady, ""), 0
+	case feedBehind:
+		if until := pending.start + catchUpWait; now < until {
 			return nil, until
 		}
-		return r.refuse(configuration.CodeBehind, ""), 0
-	case lacksSnapshot:
-		return r.snapshot(wait.poll, now, seen), 0
+		return r.reject(configuration.CodeBehind, ""), 0
+	case needsSnapshot:
+		return r.snapshot(pending.poll, now, view), 0
 	}
-	if !wait.acknowledged {
-		r.acknowledge(wait.poll)
-		wait.acknowledged = true
+	if !pending.acknowledged {
+		r.acknowledge(pending.poll)
+		pending.acknowledged = true
 	}
-	if seen.stands == current && now < wait.end {
-		return nil, wait.end
+	if view.state == upToDate && now < pending.deadline {
+		return nil, pending.deadline
 	}
-	r.counts.count(seen.update)
-	return r.update(seen), 0
+	r.counters.countUpdate(view.update)
+	return r.respond(view), 0
 }
 
-// snapshot answers a subscriber that lacks everything, if there is a place.
-func (r *Relay) snapshot(poll *configuration.Poll, now time.Duration, seen view) *reply {
+// snapshot returns a snapshot if there is a slot, and else CodeBusy.
+func (r *Relay) snapshot(poll *configuration.Poll, now time.Duration, view feedView) *pollResponse {
 	r.mu.Lock()
 	admitted, retry := r.admission.admit(now, poll.Subscriber)
 	r.mu.Unlock()
 	if !admitted {
-		answer := r.refuse(configuration.CodeBusy, "")
-		answer.RetryAfterMS = retry.Milliseconds()
-		return answer
+		response := r.reject(configuration.CodeBusy, "")
+		response.RetryAfterMS = retry.Milliseconds()
+		return response
 	}
-	r.counts.snapshots.Add(1)
-	return r.update(seen)
+	r.counters.update(func(counts *Counts) { counts.Snapshots++ })
+	return r.respond(view)
 }
 
-// acknowledge frees the place of a subscriber that holds a version.
+// acknowledge releases the slot of a subscriber that has a version.
 func (r *Relay) acknowledge(poll *configuration.Poll) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.acknowledged(poll.Subscriber)
 }
 
-func (r *Relay) update(seen view) *reply {
-	return &reply{PollResponse: configuration.PollResponse{Region: r.file.Region, Update: &seen.update}, heard: seen.heard}
+func (r *Relay) respond(view feedView) *pollResponse {
+	return &pollResponse{PollResponse: configuration.PollResponse{Region: r.file.Region, Update: &view.update}, contact: view.contact}
 }
 
-func (r *Relay) refuse(refusal configuration.ErrorCode, reason string) *reply {
-	r.counts.refused(refusal)
-	_, heard := r.feed.state()
-	return &reply{PollResponse: configuration.PollResponse{Region: r.file.Region, ErrorCode: refusal, Reason: reason}, heard: heard}
+func (r *Relay) reject(code configuration.ErrorCode, reason string) *pollResponse {
+	r.counters.countError(code)
+	_, last := r.feed.state()
+	return &pollResponse{PollResponse: configuration.PollResponse{Region: r.file.Region, ErrorCode: code, Reason: reason}, contact: last}
 }
 
 func (r *Relay) isDraining() bool {
--- a/internal/fleet/relay/relay.go
+++ b/internal/fleet/relay/relay.go
@@ -1,11 +1,15 @@
-// Package relay is a process between the council of a region and the sidecars of a
-// zone: it follows the council's configuration and serves it to subscribers by long
-// polls. It keeps no file. What a poll is answered with, package configuration
-// decides; this package has the sockets, the clock and the signals.
+// Package relay is a process between the coordination cluster of a region and the
+// sidecars of a zone: it follows the cluster's configuration and serves it to
+// subscribers by long polls. It keeps no file. Package configuration decides the
+// response to a poll; this package has the sockets, the clock and the signals.
+//
+// Relay has the HTTP server, feed the newest configuration and the polls that wait for
+// a newer one, follower the connection to the cluster.
 package relay
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -14,99 +18,110 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/logs"
 )
 
-// Bounds of the server's connections.
+// Limits of the server's connections.
 const (
-	readTimeout    = configuration.MaxWait + 5*time.Second // of a whole poll, until its answer is begun
+	readTimeout    = configuration.MaxWait + 5*time.Second // of a whole poll, until its response starts
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 4 << 10
-	// closeTimeout is for how long answers may be under way once the drain is over.
+	// closeTimeout is how long responses may take after the drain.
 	closeTimeout = 500 * time.Millisecond
-	// drainedCheck is how often a drain looks whether a connection is left.
-	drainedCheck = 20 * time.Millisecond
+	// drainCheckInterval is the interval at which a drain counts the connections.
+	drainCheckInterval = 20 * time.Millisecond
 )
 
-// Relay is a relay's process.
+// Relay is a relay's process. Run owns all its goroutines: the server's, one per
+// connection, and the follower's.
 type Relay struct {
 	file     *File
 	log      *slog.Logger
 	listener *limitedListener
 	feed     *feed
-	draining chan struct{} // closed when the drain begins
-	counts   counts
+	draining chan struct{} // closed when the drain starts
+	counters counters
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the following; locked before those of feed and counters
 	registry  *configuration.Registry
-	admission *admission
+	admission *snapshotAdmission
 }
 
-// Open prepares a relay and listens at its address.
+// Open prepares a relay and listens at its address. Call Run once after it.
 func Open(file *File, log *slog.Logger) (*Relay, error) {
 	listener, err := net.Listen("tcp", file.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("%s: listen: %w, wanted an address that is free", file.Path, err)
 	}
 	return &Relay{
-		file: file, log: log,
-		listener:  &limitedListener{Listener: listener, limit: int64(file.Connections)},
+		file:      file,
+		log:       log,
+		listener:  &limitedListener{Listener: listener, limit: int64(file.MaxConnections), log: log},
 		feed:      newFeed(),
 		draining:  make(chan struct{}),
 		registry:  configuration.NewRegistry(),
-		admission: newAdmission(file.SnapshotsAtOnce),
+		admission: newSnapshotAdmission(file.MaxSnapshotsInFlight),
 	}, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address at which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Run serves until ctx ends, and then hands the subscribers on. It returns an error
-// where the relay is configured for another council than the one that answers.
+// Run serves until ctx ends, then drains the subscribers and returns nil. It returns a
+// *WrongClusterError if the first cluster that responds is not the configured one.
 func (r *Relay) Run(ctx context.Context) error {
 	server := &http.Server{
-		Handler: r.handler(), MaxHeaderBytes: maxHeaderBytes,
-		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		WriteTimeout: readTimeout + r.file.WriteTimeout,
-		ErrorLog:     slog.NewLogLogger(r.log.Handler(), slog.LevelDebug),
+		Handler:           r.handler(),
+		MaxHeaderBytes:    maxHeaderBytes,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       readTimeout,
+		IdleTimeout:       idleTimeout,
+		WriteTimeout:      readTimeout + r.file.WriteTimeout,
+		ErrorLog:          slog.NewLogLogger(r.log.Handler(), slog.LevelDebug),
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer server.Close()
-	// The council is followed through the drain, since polls are answered in it.
-	following, stop := context.WithCancel(context.Background())
+	// The cluster is followed during the drain, since polls are served in it.
+	afterEnd := context.WithoutCancel(ctx)
+	following, stop := context.WithCancel(afterEnd)
 	defer stop()
 	failed := make(chan error, 1)
 	wg.Go(func() { failed <- newFollower(r.file, r.feed, r.log).run(following) })
-	wg.Go(func() { server.Serve(r.listener) })
-	r.log.Info(fmt.Sprintf("relay %s of zone %s listens on %s, follows council %s", r.file.Name, r.file.Zone, r.Address(), r.file.Region))
+	wg.Go(func() {
+		if err := server.Serve(r.listener); !errors.Is(err, http.ErrServerClosed) {
+			r.log.Error("relay accepts no more connections", "address", r.Address(), "error", err)
+		}
+	})
+	r.log.Info("relay listening", "relay", r.file.Name, "zone", r.file.Zone, "address", r.Address(), "cluster", r.file.Region)
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	r.drain(server)
+	r.drain(afterEnd, server)
 	return nil
 }
 
-// drain hands the subscribers on: polls that wait are answered, each at a moment of
-// its own, and connections end with their answers.
-func (r *Relay) drain(server *http.Server) {
-	r.log.Info(fmt.Sprintf("drains %d connections within %v", r.listener.open.Load(), r.file.Drain), logs.Cause("drain"))
+// drain moves the subscribers to other relays: polls that wait get their response at
+// random times, and connections end with their responses.
+func (r *Relay) drain(ctx context.Context, server *http.Server) {
+	r.log.Info("relay draining", "connections", r.listener.open.Load(), "duration", r.file.DrainTime)
 	close(r.draining)
-	end := time.NewTimer(r.file.Drain)
-	defer end.Stop()
-	look := time.NewTicker(drainedCheck)
-	defer look.Stop()
-	for over := false; !over && r.listener.open.Load() > 0; {
+	deadline := time.NewTimer(r.file.DrainTime)
+	defer deadline.Stop()
+	check := time.NewTicker(drainCheckInterval)
+	defer check.Stop()
+	for expired := false; !expired && r.listener.open.Load() > 0; {
 		select {
-		case <-end.C:
-			over = true
-		case <-look.C:
+		case <-deadline.C:
+			expired = true
+		case <-check.C:
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	server.Shutdown(ctx)
+	if err := server.Shutdown(ctx); err != nil {
+		r.log.Debug("relay closes connections with responses in flight", "connections", r.listener.open.Load(), "error", err)
+	}
 }
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -24,18 +24,18 @@
 	settingsB = `{"tenants":[{"name":"a","quota-per-s":20}]}`
 )
 
-func TestBadFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	const good = "region = \"west\"\nzone = \"west-1\"\nname = \"r1\"\nlisten = \"127.0.0.1:7000\"\nmembers = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]\n"
 	without := func(key string) string {
-		var kept []string
-		for _, line := range strings.Split(good, "\n") {
+		var lines []string
+		for line := range strings.SplitSeq(good, "\n") {
 			if !strings.HasPrefix(line, key+" ") {
-				kept = append(kept, line)
+				lines = append(lines, line)
 			}
 		}
-		return strings.Join(kept, "\n")
+		return strings.Join(lines, "\n")
 	}
 	for _, c := range []struct{ text, want string }{
 		{without("region"), "found no region, wanted it given"},
@@ -51,82 +51,85 @@
 		{good + "drain = \"2h\"", ":6: drain: found \"2h\", wanted 0s to 1m"},
 		{good + "directory = \"d\"", ":6: directory: found a key that is not known"},
 	} {
-		os.WriteFile(path, []byte(c.text), 0o600)
+		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
 		_, err := LoadFile(path)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: found %v, wanted %s", c.text, err, c.want)
 		}
 	}
-	os.WriteFile(path, []byte(good), 0o600)
+	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	file, err := LoadFile(path)
-	if err != nil || file.Connections != defaultConnections || file.Drain != 2*time.Second {
+	if err != nil || file.MaxConnections != defaultMaxConnections || file.DrainTime != 2*time.Second {
 		t.Errorf("%+v: %v", file, err)
 	}
 }
 
-// A subscriber holds nothing, takes the snapshot, and then what it subscribes to and
-// no more.
+// A subscriber gets a snapshot first, and then only changes of its subscription.
 func TestSnapshotThenDeltas(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	first := council.put(t, settingsA, "a", "b", "c")
-	r := start(t, testFile(council.address()))
-	r.holds(first)
+	cluster := newFakeCluster(t, "west#1")
+	first := cluster.put(t, settingsA, "a", "b", "c")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(first)
 	services := configuration.Subscription{"a", "b"}
-	answer := poll(t, r.Address(), configuration.Poll{Services: services})
-	if answer.Update == nil || !answer.Update.IsSnapshot() || len(answer.Update.Resources) != 2 || answer.Update.Version != first {
-		t.Fatalf("the first answer: %+v", answer)
+	response := poll(t, r.Address(), configuration.Poll{Services: services})
+	if response.Update == nil || !response.Update.IsSnapshot() || len(response.Update.Resources) != 2 || response.Update.Version != first {
+		t.Fatalf("the first response: %+v", response)
 	}
-	if answer = poll(t, r.Address(), configuration.Poll{Services: services, Version: first}); answer.Update == nil || answer.Update.From != first || len(answer.Update.Resources) != 0 {
-		t.Errorf("the answer without news: %+v", answer)
+	if response = poll(t, r.Address(), configuration.Poll{Services: services, Version: first}); response.Update == nil || response.Update.From != first || len(response.Update.Resources) != 0 {
+		t.Errorf("the response without an update: %+v", response)
 	}
-	second := council.put(t, settingsB, "c")
-	r.holds(second)
-	// What is not subscribed to is no news, and the version goes on with it.
-	if answer = poll(t, r.Address(), configuration.Poll{Services: services, Version: first, WaitMS: 50}); answer.Update == nil || answer.Update.Version != second || len(answer.Update.Resources) != 0 {
-		t.Errorf("the answer after a foreign change: %+v", answer)
+	second := cluster.put(t, settingsB, "c")
+	r.awaitVersion(second)
+	// A change of another service only advances the version.
+	if response = poll(t, r.Address(), configuration.Poll{Services: services, Version: first, WaitMS: 50}); response.Update == nil || response.Update.Version != second || len(response.Update.Resources) != 0 {
+		t.Errorf("the response after a change of another service: %+v", response)
 	}
-	answers := make(chan configuration.PollResponse, 1)
+	responses := make(chan configuration.PollResponse, 1)
 	go func() {
-		answers <- poll(t, r.Address(), configuration.Poll{Services: services, Version: second, WaitMS: 5000})
+		responses <- poll(t, r.Address(), configuration.Poll{Services: services, Version: second, WaitMS: 5000})
 	}()
-	await(t, "a poll that waits", func() bool { return r.counts.read().Polls == 4 })
-	council.put(t, settingsB, "c")
-	third := council.put(t, settingsB, "a")
-	if answer = <-answers; answer.Update == nil || answer.Update.Version != third || len(answer.Update.Resources) != 1 || string(answer.Update.Resources[0].Settings) != settingsB {
-		t.Errorf("the answer to the poll that waited: %+v", answer)
+	awaitCondition(t, "a poll that waits", func() bool { return r.counters.read().Polls == 4 })
+	cluster.put(t, settingsB, "c")
+	third := cluster.put(t, settingsB, "a")
+	if response = <-responses; response.Update == nil || response.Update.Version != third || len(response.Update.Resources) != 1 || string(response.Update.Resources[0].Settings) != settingsB {
+		t.Errorf("the response to the poll that waited: %+v", response)
 	}
-	if counts := r.counts.read(); counts.Snapshots != 1 || counts.Deltas != 1 || counts.Empty != 2 {
+	if counts := r.counters.read(); counts.Snapshots != 1 || counts.Deltas != 1 || counts.Empty != 2 {
 		t.Errorf("counts %+v", counts)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestErrorCodes(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	council.set(func(s *standIn) { s.leaderless = true })
-	r := start(t, testFile(council.address()))
-	if answer := poll(t, r.Address(), configuration.Poll{WaitMS: 5000}); answer.ErrorCode != configuration.CodeNotReady {
-		t.Errorf("a relay that has heard nothing: %+v", answer)
-	}
-	await(t, "a line for a council without a leader", func() bool { return strings.Contains(r.log.String(), "found no member of council") })
-	council.set(func(s *standIn) { s.leaderless = false })
-	r.holds(0)
-	// A council without any service: there is nothing to take, and nothing to wait for in a loop.
-	if answer := poll(t, r.Address(), configuration.Poll{WaitMS: 20}); answer.Update == nil || answer.Update.Version != 0 {
-		t.Errorf("an empty council: %+v", answer)
-	}
-	version := council.put(t, settingsA, "a")
-	r.holds(version)
-	if answer := poll(t, r.Address(), configuration.Poll{Version: version + 1}); answer.ErrorCode != configuration.CodeBehind {
-		t.Errorf("a subscriber that is ahead: %+v", answer)
-	}
-	if answer := poll(t, r.Address(), configuration.Poll{Region: "east"}); answer.ErrorCode != configuration.CodeWrongRegion || answer.Region != "west" || answer.Reason == "" {
-		t.Errorf("another region's subscriber: %+v", answer)
+	cluster := newFakeCluster(t, "west#1")
+	cluster.set(func(s *fakeCluster) { s.leaderless = true })
+	r := startRelay(t, newTestFile(cluster.address()))
+	if response := poll(t, r.Address(), configuration.Poll{WaitMS: 5000}); response.ErrorCode != configuration.CodeNotReady {
+		t.Errorf("a relay without contact with the cluster: %+v", response)
+	}
+	awaitCondition(t, "a warning for a cluster without a leader", func() bool { return strings.Contains(r.log.String(), "no cluster member with a leader responds") })
+	cluster.set(func(s *fakeCluster) { s.leaderless = false })
+	r.awaitVersion(0)
+	// A cluster without services: the update has no resources, and the poll does not loop.
+	if response := poll(t, r.Address(), configuration.Poll{WaitMS: 20}); response.Update == nil || response.Update.Version != 0 {
+		t.Errorf("an empty cluster: %+v", response)
+	}
+	version := cluster.put(t, settingsA, "a")
+	r.awaitVersion(version)
+	if response := poll(t, r.Address(), configuration.Poll{Version: version + 1}); response.ErrorCode != configuration.CodeBehind {
+		t.Errorf("a subscriber that is ahead: %+v", response)
+	}
+	if response := poll(t, r.Address(), configuration.Poll{Region: "east"}); response.ErrorCode != configuration.CodeWrongRegion || response.Region != "west" || response.Reason == "" {
+		t.Errorf("another region's subscriber: %+v", response)
 	}
 	for text, want := range map[string]string{
 		"":                                "poll: EOF",
-		"{}{}":                            "found something behind its end",
+		"{}{}":                            "found data after its end",
 		`{"region":"west"}`:               "subscriber: found \"\"",
 		`{"region":"west","version":"1"}`: "cannot unmarshal",
 		`{"region":"west","subscriber":"s","wait_ms":-1}`:                      "wait_ms: found -1",
@@ -134,354 +137,291 @@
 		`{"region":"` + strings.Repeat("w", 64<<10) + `"}`:                     "wanted 65536 at most",
 		`{"region":"west","subscriber":"s","services":["a b"]}`:                "services[0]",
 	} {
-		status, answer := post(t, r.Address(), text)
-		if status != 400 || answer.ErrorCode != configuration.CodeInvalid || !strings.Contains(answer.Reason, want) {
-			t.Errorf("%.60s: %d %+v, wanted %s", text, status, answer, want)
+		status, response := post(t, r.Address(), text)
+		if status != 400 || response.ErrorCode != configuration.CodeInvalid || !strings.Contains(response.Reason, want) {
+			t.Errorf("%.60s: %d %+v, wanted %s", text, status, response, want)
 		}
 	}
 }
 
-// A newer sidecar's poll, which says something that this relay does not know, is
-// answered all the same: relays and sidecars are rolled one after the other.
+// A newer sidecar's poll with a key that this relay does not know is served: relays and
+// sidecars are updated one after the other.
 func TestPollOfNewerSidecar(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	r := start(t, testFile(council.address()))
-	r.holds(council.put(t, settingsA, "a"))
-	status, answer := post(t, r.Address(), `{"region":"west","subscriber":"s","more":1}`)
-	if status != http.StatusOK || answer.Update == nil || len(answer.Update.Resources) != 1 {
-		t.Errorf("found %d %+v, wanted the one resource", status, answer)
+	cluster := newFakeCluster(t, "west#1")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(cluster.put(t, settingsA, "a"))
+	status, response := post(t, r.Address(), `{"region":"west","subscriber":"s","more":1}`)
+	if status != http.StatusOK || response.Update == nil || len(response.Update.Resources) != 1 {
+		t.Errorf("found %d %+v, wanted the one resource", status, response)
 	}
 }
 
-// A digest stands for the services that the subscriber has named to this relay, and
-// for nothing else.
-func TestDigestStandsForServices(t *testing.T) {
+// A digest replaces the services that the subscriber has named to this relay last.
+func TestDigestReplacesServices(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	r := start(t, testFile(council.address()))
-	r.holds(council.put(t, settingsA, "a", "b"))
+	cluster := newFakeCluster(t, "west#1")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(cluster.put(t, settingsA, "a", "b"))
 	services := configuration.Subscription{"b"}
 	byDigest := configuration.Poll{Subscriber: "s", ServicesDigest: services.Digest()}
-	if answer := poll(t, r.Address(), byDigest); answer.ErrorCode != configuration.CodeUnknownServices {
-		t.Errorf("before the services were named: %+v", answer)
+	if response := poll(t, r.Address(), byDigest); response.ErrorCode != configuration.CodeUnknownServices {
+		t.Errorf("before the services were named: %+v", response)
 	}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s", Services: services})
-	answer := poll(t, r.Address(), byDigest)
-	if answer.Update == nil || len(answer.Update.Resources) != 1 || answer.Update.Resources[0].Service != "b" {
-		t.Errorf("after the services were named: %+v", answer)
+	response := poll(t, r.Address(), byDigest)
+	if response.Update == nil || len(response.Update.Resources) != 1 || response.Update.Resources[0].Service != "b" {
+		t.Errorf("after the services were named: %+v", response)
 	}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s", Services: configuration.Subscription{"a"}})
-	if answer := poll(t, r.Address(), byDigest); answer.ErrorCode != configuration.CodeUnknownServices {
-		t.Errorf("after other services were named: %+v", answer)
+	if response := poll(t, r.Address(), byDigest); response.ErrorCode != configuration.CodeUnknownServices {
+		t.Errorf("after other services were named: %+v", response)
 	}
 }
 
-// A subscriber that is ahead for a moment only is not sent away.
+// A relay that is behind for a moment only does not respond with CodeBehind.
 func TestCatchesUp(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	r := start(t, testFile(council.address()))
-	version := council.put(t, settingsA, "a")
-	r.holds(version)
-	answers := make(chan configuration.PollResponse, 1)
-	go func() { answers <- poll(t, r.Address(), configuration.Poll{Version: version + 1}) }()
-	await(t, "the poll", func() bool { return r.counts.read().Polls == 1 })
-	council.put(t, settingsB, "a")
-	if answer := <-answers; answer.Update == nil || answer.Update.Version != version+1 {
-		t.Errorf("found %+v, wanted an update without news", answer)
+	cluster := newFakeCluster(t, "west#1")
+	r := startRelay(t, newTestFile(cluster.address()))
+	version := cluster.put(t, settingsA, "a")
+	r.awaitVersion(version)
+	responses := make(chan configuration.PollResponse, 1)
+	go func() { responses <- poll(t, r.Address(), configuration.Poll{Version: version + 1}) }()
+	awaitCondition(t, "the poll", func() bool { return r.counters.read().Polls == 1 })
+	cluster.put(t, settingsB, "a")
+	if response := <-responses; response.Update == nil || response.Update.Version != version+1 {
+		t.Errorf("found %+v, wanted an update without resources", response)
 	}
 }
 
-// Of members that fall silent, have no leader or are away the next one is asked.
-func TestAnyMemberAnswers(t *testing.T) {
+// If a member is unresponsive, without a leader or down, the next one is called.
+func TestAnyMemberIsFollowed(t *testing.T) {
 	t.Parallel()
-	silent, leaderless, good := newStandIn(t, "west#1"), newStandIn(t, "west#1"), newStandIn(t, "west#1")
-	silent.set(func(s *standIn) { s.silent = true })
-	leaderless.set(func(s *standIn) { s.leaderless = true })
-	version := good.put(t, settingsA, "a")
-	r := start(t, testFile(silent.address(), leaderless.address(), freeAddress(t), good.address()))
-	r.holds(version)
-	// The one that is followed falls silent, and another has what is newer.
-	good.set(func(s *standIn) { s.silent = true })
+	unresponsive, leaderless, healthy := newFakeCluster(t, "west#1"), newFakeCluster(t, "west#1"), newFakeCluster(t, "west#1")
+	unresponsive.set(func(s *fakeCluster) { s.unresponsive = true })
+	leaderless.set(func(s *fakeCluster) { s.leaderless = true })
+	version := healthy.put(t, settingsA, "a")
+	r := startRelay(t, newTestFile(unresponsive.address(), leaderless.address(), freeAddress(t), healthy.address()))
+	r.awaitVersion(version)
+	// The member that is followed becomes unresponsive, and another has a newer version.
+	healthy.set(func(s *fakeCluster) { s.unresponsive = true })
 	leaderless.put(t, settingsA, "a")
 	newest := leaderless.put(t, settingsB, "a")
-	leaderless.set(func(s *standIn) { s.leaderless = false })
-	r.holds(newest)
-	// A member that is behind is not gone by, and does not make the age less.
-	leaderless.set(func(s *standIn) { s.silent = true })
-	good.set(func(s *standIn) { s.silent = false })
-	await(t, "an age that grows", func() bool { _, heard := r.feed.state(); return heard.age(bootclock.Now()) > 2*time.Second })
-	if held, _ := r.feed.state(); held != newest {
-		t.Errorf("found version %v, wanted %v", held, newest)
+	leaderless.set(func(s *fakeCluster) { s.leaderless = false })
+	r.awaitVersion(newest)
+	// A member that is behind is ignored, and does not reduce the age.
+	leaderless.set(func(s *fakeCluster) { s.unresponsive = true })
+	healthy.set(func(s *fakeCluster) { s.unresponsive = false })
+	awaitCondition(t, "an age that grows", func() bool { _, last := r.feed.state(); return last.age(bootclock.Now()) > 2*time.Second })
+	if cached, _ := r.feed.state(); cached != newest {
+		t.Errorf("found version %v, wanted %v", cached, newest)
 	}
 }
 
-// Another council's members: an end with one line at the start, and later a line.
-func TestForeignCouncil(t *testing.T) {
+// Members of another cluster: the relay ends with one line at its start, and warns later.
+func TestWrongCluster(t *testing.T) {
 	t.Parallel()
-	foreign := newStandIn(t, "east#1")
-	r := start(t, testFile(foreign.address()))
-	err := r.ended()
-	var wrong *ForeignError
-	if !errors.As(err, &wrong) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), `relay.toml: members: `+foreign.address()+`: found council "east", wanted "west"`) {
+	other := newFakeCluster(t, "east#1")
+	r := startRelay(t, newTestFile(other.address()))
+	err := r.awaitEnd()
+	var wrong *WrongClusterError
+	if !errors.As(err, &wrong) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), `relay.toml: members: `+other.address()+`: found cluster "east", wanted "west"`) {
 		t.Errorf("found %v", err)
 	}
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "a")
-	r = start(t, testFile(council.address()))
-	r.holds(version)
-	council.set(func(s *standIn) { s.name = "east#1" })
-	await(t, "a line", func() bool { return warns(r, `found council \"east\", wanted \"west\"`) })
-	// Another one of the same name, which has given out versions of its own.
-	council.set(func(s *standIn) { s.name = "west#2" })
-	council.put(t, settingsB, "a")
-	await(t, "a line", func() bool { return warns(r, `found council \"west#2\", wanted \"west#1\"`) })
-	if answer := poll(t, r.Address(), configuration.Poll{}); answer.Update == nil || answer.Update.Version != version {
-		t.Errorf("found %+v, wanted the version of before", answer)
-	}
-	// The council of before, restored: its space is newer.
-	council.set(func(s *standIn) { s.store.StartTokenSpace(2); s.name = "west#00000002" })
-	r.holds(configuration.NewVersion(2, 2))
+	cluster := newFakeCluster(t, "west#1")
+	version := cluster.put(t, settingsA, "a")
+	r = startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(version)
+	cluster.set(func(s *fakeCluster) { s.name = "east#1" })
+	awaitCondition(t, "a warning", func() bool { return hasWarning(r, `found cluster \"east\", wanted \"west\"`) })
+	// Another cluster of the same name, with its own versions.
+	cluster.set(func(s *fakeCluster) { s.name = "west#2" })
+	cluster.put(t, settingsB, "a")
+	awaitCondition(t, "a warning", func() bool { return hasWarning(r, `found cluster \"west#2\", wanted \"west#1\"`) })
+	if response := poll(t, r.Address(), configuration.Poll{}); response.Update == nil || response.Update.Version != version {
+		t.Errorf("found %+v, wanted the earlier version", response)
+	}
+	// The earlier cluster, restored: its token space is newer.
+	cluster.set(func(s *fakeCluster) { s.store.StartTokenSpace(2); s.name = "west#00000002" })
+	r.awaitVersion(configuration.NewVersion(2, 2))
 }
 
-// warns tells whether a relay has said something in a warning of its own, not among
-// what it says of all members.
-func warns(r *running, text string) bool {
-	for _, line := range strings.Split(r.log.String(), "\n") {
-		if strings.Contains(line, "level=WARN") && strings.Contains(line, text) && !strings.Contains(line, "found no member") {
+// hasWarning reports whether a relay has logged a warning about a member with a text, not
+// only the one about all members.
+func hasWarning(r *runningRelay, text string) bool {
+	for line := range strings.SplitSeq(r.log.String(), "\n") {
+		if strings.Contains(line, "level=WARN") && strings.Contains(line, text) && !strings.Contains(line, "no cluster member") {
 			return true
 		}
 	}
 	return false
 }
 
-func TestTwoRelaysWithOneAddress(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	r := start(t, testFile(council.address()))
-	file := testFile(council.address())
+	cluster := newFakeCluster(t, "west#1")
+	r := startRelay(t, newTestFile(cluster.address()))
+	file := newTestFile(cluster.address())
 	file.Listen = r.Address()
 	if _, err := Open(file, r.Relay.log); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "address already in use") {
 		t.Errorf("found %v", err)
 	}
 }
 
-// The drain answers polls that wait within its spread, and later ones at once.
-func TestDrain(t *testing.T) {
+// The age counts from when the call was sent, not from its response.
+func TestAgeCountsFromTheRequest(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "a")
-	r := start(t, testFile(council.address()))
-	r.holds(version)
-	const polls = 20
-	answers := make(chan configuration.PollResponse, polls)
-	for i := range polls {
-		go func() {
-			answers <- poll(t, r.Address(), configuration.Poll{Subscriber: fmt.Sprint("s", i), Version: version, WaitMS: 5000})
-		}()
-	}
-	await(t, "polls that wait", func() bool { return r.counts.read().Polls == polls })
-	r.stop()
-	await(t, "the drain", r.isDraining)
-	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version, WaitMS: 5000}); answer.ErrorCode != configuration.CodeDraining {
-		t.Errorf("a poll in the drain: %+v", answer)
-	}
-	for range polls {
-		if answer := <-answers; answer.ErrorCode != configuration.CodeDraining {
-			t.Errorf("a poll that waited: %+v", answer)
-		}
-	}
-	if err := r.ended(); err != nil {
-		t.Error(err)
-	}
-}
-
-// A drain is spread: polls that wait are not all answered as it begins. It ends as
-// soon as nobody is connected any more.
-func TestDrainIsSpread(t *testing.T) {
-	t.Parallel()
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "a")
-	file := testFile(council.address())
-	file.Drain = time.Minute
-	r := start(t, file)
-	r.holds(version)
-	var open []net.Conn
-	for i := range 20 {
-		text := fmt.Sprintf(`{"region":"west","subscriber":"s%d","version":%d,"wait_ms":5000}`, i, version)
-		conn := dialSmall(t, r.Address())
-		fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: relay\r\nContent-Length: %d\r\n\r\n%s", configuration.PollPath, len(text), text)
-		open = append(open, conn)
-	}
-	await(t, "polls that wait", func() bool { return r.counts.read().Polls == int64(len(open)) })
-	r.stop()
-	await(t, "the drain", r.isDraining)
-	if answer := poll(t, r.Address(), configuration.Poll{Subscriber: "late", Version: version}); answer.ErrorCode != configuration.CodeDraining {
-		t.Errorf("a poll in the drain: %+v", answer)
-	}
-	if drained := r.counts.read().Drained; drained > int64(len(open)) {
-		t.Errorf("all polls were answered at once, wanted a spread over %v", file.Drain)
-	}
-	for _, conn := range open {
-		conn.Close()
-	}
-	if err := r.ended(); err != nil {
-		t.Error(err)
-	}
-}
-
-// What is held is as old as the call that was answered, not as its answer.
-func TestAgeSinceTheCallWasSent(t *testing.T) {
-	t.Parallel()
-	council := newStandIn(t, "west#1")
-	hold := make(chan struct{})
-	council.set(func(s *standIn) { s.hold = hold })
-	r := start(t, testFile(council.address()))
-	await(t, "the call", func() bool { return council.callsUnderWay(council.address()) == 1 })
+	cluster := newFakeCluster(t, "west#1")
+	release := make(chan struct{})
+	cluster.set(func(s *fakeCluster) { s.release = release })
+	r := startRelay(t, newTestFile(cluster.address()))
+	awaitCondition(t, "the call", func() bool { return cluster.callsInFlight(cluster.address()) == 1 })
 	time.Sleep(100 * time.Millisecond)
-	council.set(func(s *standIn) { s.hold = nil })
-	close(hold)
-	await(t, "the answer", func() bool { _, heard := r.feed.state(); return heard.known })
-	_, heard := r.feed.state()
-	council.set(func(s *standIn) {
-		if heard.at > s.received {
-			t.Errorf("counts from %v after the call had come, wanted from its sending", heard.at-s.received)
+	cluster.set(func(s *fakeCluster) { s.release = nil })
+	close(release)
+	awaitCondition(t, "the response", func() bool { _, last := r.feed.state(); return last.known })
+	_, last := r.feed.state()
+	cluster.set(func(s *fakeCluster) {
+		if last.at > s.received {
+			t.Errorf("the age counts from %v after the call was received, wanted from when it was sent", last.at-s.received)
 		}
 	})
 }
 
-// Polls that wait are woken by each change. One that was only answered at the end of
-// its wait would make this last longer than the test may.
-func TestNewsWakesPolls(t *testing.T) {
+// Each change wakes the waiting polls. If polls waited until their deadlines, the test
+// would exceed its time limit.
+func TestUpdatesWakePolls(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "a")
-	r := start(t, testFile(council.address()))
-	r.holds(version)
+	cluster := newFakeCluster(t, "west#1")
+	version := cluster.put(t, settingsA, "a")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(version)
 	const changes = 20 // with waits of 5 s: 100 s
-	begun := time.Now()
+	started := time.Now()
 	for i := range changes {
 		p := configuration.Poll{Version: version, WaitMS: 5000}
 		if i%2 == 0 {
 			p.Services = configuration.Subscription{"other", "a"}
 		}
-		answers := make(chan configuration.PollResponse, 1)
-		go func() { answers <- poll(t, r.Address(), p) }()
-		await(t, "the poll", func() bool { return r.counts.read().Polls == int64(i+1) })
-		if i%4 == 3 { // the council is restored: all have to come for a snapshot
-			council.set(func(s *standIn) { s.store.StartTokenSpace(version.TokenSpace() + 1); version = s.store.Version })
-			council.wake()
+		responses := make(chan configuration.PollResponse, 1)
+		go func() { responses <- poll(t, r.Address(), p) }()
+		awaitCondition(t, "the poll", func() bool { return r.counters.read().Polls == int64(i+1) })
+		if i%4 == 3 { // the cluster is restored: all need a snapshot
+			cluster.set(func(s *fakeCluster) { s.store.StartTokenSpace(version.TokenSpace() + 1); version = s.store.Version })
+			cluster.wake()
 		} else {
-			version = council.put(t, settingsB, "a")
+			version = cluster.put(t, settingsB, "a")
 		}
-		if answer := <-answers; answer.Update == nil || answer.Update.Version != version {
-			t.Fatalf("change %d: found %+v, wanted version %v", i, answer, version)
+		if response := <-responses; response.Update == nil || response.Update.Version != version {
+			t.Fatalf("change %d: found %+v, wanted version %v", i, response, version)
 		}
-		if time.Since(begun) > patience {
-			t.Fatalf("%d changes took longer than %v: polls are not woken", i+1, patience)
+		if time.Since(started) > hangTimeout {
+			t.Fatalf("%d changes took longer than %v: polls are not woken", i+1, hangTimeout)
 		}
 	}
-	await(t, "no poll that waits", func() bool {
+	awaitCondition(t, "no waiting poll", func() bool {
 		r.feed.waitersMu.Lock()
 		defer r.feed.waitersMu.Unlock()
 		return len(r.feed.waiters) == 0
 	})
 }
 
-// Those who don't read are cut each after the time that they have. One that was only
-// cut by the bound on its connection would make this last longer than the test may.
-func TestCutInTime(t *testing.T) {
+// Subscribers that don't read are disconnected after WriteTimeout. If only the server's
+// timeout did, the test would exceed its time limit.
+func TestWriteTimeout(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
+	cluster := newFakeCluster(t, "west#1")
 	const bigServices = 40
 	var services []string
 	for i := range bigServices {
 		services = append(services, fmt.Sprint("big", i))
 	}
-	version := council.put(t, bigSettings(t), services...)
-	file := testFile(council.address())
+	version := cluster.put(t, bigSettings(t), services...)
+	file := newTestFile(cluster.address())
 	file.WriteTimeout = 100 * time.Millisecond
-	r := start(t, file)
-	r.holds(version)
-	begun := time.Now()
-	for i := range int64(7) { // with the bound on a connection: 70 s
+	r := startRelay(t, file)
+	r.awaitVersion(version)
+	started := time.Now()
+	for i := range int64(7) { // with the server's timeout: 70 s
 		conn := dialSmall(t, r.Address())
-		text := `{"region":"west","subscriber":"deaf","version":0,"wait_ms":0}`
-		fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: relay\r\nContent-Length: %d\r\n\r\n%s", configuration.PollPath, len(text), text)
-		await(t, "the cut", func() bool { return r.counts.read().Cut == i+1 })
-		if time.Since(begun) > patience {
-			t.Fatalf("%d cuts took longer than %v", i+1, patience)
+		text := `{"region":"west","subscriber":"blocked","version":0,"wait_ms":0}`
+		writePoll(t, conn, text)
+		awaitCondition(t, "the write timeout", func() bool { return r.counters.read().WriteTimeouts == i+1 })
+		if time.Since(started) > hangTimeout {
+			t.Fatalf("%d write timeouts took longer than %v", i+1, hangTimeout)
 		}
 	}
 }
 
-// An answer that was made up before a newer version came is as old as what it tells.
-func TestAgeIsOfTheVersionThatIsTold(t *testing.T) {
+// A response that was decided before a newer version arrived has the age of its version.
+func TestAgeIsOfTheVersionInTheResponse(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	r, err := Open(testFile(council.address()), logs.New(io.Discard, logs.Options{}))
+	cluster := newFakeCluster(t, "west#1")
+	r, err := Open(newTestFile(cluster.address()), logs.New(io.Discard, logs.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.listener.Close()
-	heard := bootclock.Now() - time.Minute
-	if err := r.feed.take(heard, configuration.Update{Version: 1}); err != nil {
+	contacted := bootclock.Now() - time.Minute
+	if err := r.feed.apply(contacted, configuration.Update{Version: 1}); err != nil {
 		t.Fatal(err)
 	}
-	wait := &waiting{waiter: waiter{poll: &configuration.Poll{Subscriber: "s1", Version: 1}, news: make(chan struct{}, 1)}}
-	answer, _ := r.decide(wait, bootclock.Now())
-	if err := r.feed.take(bootclock.Now(), configuration.Update{From: 1, Version: 2}); err != nil {
+	pending := &pendingPoll{waiter: waiter{poll: &configuration.Poll{Subscriber: "s1", Version: 1}, wakeup: make(chan struct{}, 1)}}
+	response, _ := r.decide(pending, bootclock.Now())
+	if err := r.feed.apply(bootclock.Now(), configuration.Update{From: 1, Version: 2}); err != nil {
 		t.Fatal(err)
 	}
 	recorder := httptest.NewRecorder()
-	r.writeReply(recorder, http.StatusOK, answer)
-	var told configuration.PollResponse
-	if err := json.Unmarshal(recorder.Body.Bytes(), &told); err != nil {
+	r.writeResponse(recorder, http.StatusOK, response)
+	var decoded configuration.PollResponse
+	if err := json.Unmarshal(recorder.Body.Bytes(), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if told.Update == nil || told.Update.Version != 1 || told.Age() < time.Minute {
-		t.Errorf("found version 1 told to be %v old, wanted a minute at least: %+v", told.Age(), told.Update)
+	if decoded.Update == nil || decoded.Update.Version != 1 || decoded.Age() < time.Minute {
+		t.Errorf("found version 1 with age %v, wanted a minute at least: %+v", decoded.Age(), decoded.Update)
 	}
 }
 
-// A connection beyond the bound is ended at once, and one that ends makes room.
-func TestConnectionsAreBounded(t *testing.T) {
+// A connection beyond the limit is reset immediately, and the end of one admits another.
+func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	file := testFile(council.address())
-	file.Connections = 2
-	r := start(t, file)
+	cluster := newFakeCluster(t, "west#1")
+	file := newTestFile(cluster.address())
+	file.MaxConnections = 2
+	r := startRelay(t, file)
 	var open []net.Conn
-	for range file.Connections {
+	for range file.MaxConnections {
 		open = append(open, dialSmall(t, r.Address()))
 	}
-	await(t, "connections", func() bool { return r.listener.open.Load() == 2 })
-	// The reset may come while the connection is still being made.
+	awaitCondition(t, "connections", func() bool { return r.listener.open.Load() == 2 })
+	// The reset may arrive while the connection is being established.
 	if excess, err := net.Dial("tcp", r.Address()); err == nil {
 		defer excess.Close()
-		excess.SetReadDeadline(time.Now().Add(patience))
+		if err := excess.SetReadDeadline(time.Now().Add(hangTimeout)); err != nil {
+			t.Fatal(err)
+		}
 		if _, err := excess.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a connection beyond the bound: %v, wanted its end", err)
+			t.Errorf("a connection beyond the limit: %v, wanted its end", err)
 		}
 	}
-	if refused := r.listener.refused.Load(); refused != 1 {
-		t.Errorf("found %d refused, wanted 1", refused)
+	if rejected := r.listener.rejected.Load(); rejected != 1 {
+		t.Errorf("found %d rejected, wanted 1", rejected)
 	}
 	open[0].Close()
-	await(t, "room", func() bool { return r.listener.open.Load() == 1 })
-	if answer := poll(t, r.Address(), configuration.Poll{}); answer.Region != "west" {
-		t.Errorf("found %+v", answer)
+	awaitCondition(t, "the end of a connection", func() bool { return r.listener.open.Load() == 1 })
+	if response := poll(t, r.Address(), configuration.Poll{}); response.Region != "west" {
+		t.Errorf("found %+v", response)
 	}
 }
 
-// How subscribers stand to a service, and how the relay is.
+// The status of a service's subscribers, and the relay's Info.
 func TestStatus(t *testing.T) {
 	t.Parallel()
-	council := newStandIn(t, "west#1")
-	version := council.put(t, settingsA, "a", "b")
-	r := start(t, testFile(council.address()))
-	r.holds(version)
+	cluster := newFakeCluster(t, "west#1")
+	version := cluster.put(t, settingsA, "a", "b")
+	r := startRelay(t, newTestFile(cluster.address()))
+	r.awaitVersion(version)
 	rejected := []configuration.Rejection{{Service: "a", Version: version - 1, Reason: "no tenant a"}}
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s1", Version: version, Rejected: rejected})
 	poll(t, r.Address(), configuration.Poll{Subscriber: "s2", Version: version, Services: configuration.Subscription{"b"}})
@@ -500,20 +440,23 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	text, _ := io.ReadAll(response.Body)
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
 	if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), `service: found ""`) {
 		t.Errorf("a status without a service: %d %s", response.StatusCode, text)
 	}
 }
 
-func get(t testing.TB, address string, into any) {
-	t.Helper()
+func get(tb testing.TB, address string, into any) {
+	tb.Helper()
 	response, err := http.Get("http://" + address)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer response.Body.Close()
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
--- a/internal/fleet/relay/serve.go
+++ b/internal/fleet/relay/serve.go
@@ -11,24 +11,25 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// InfoPath is where a relay says how it is.
+// InfoPath is where a relay serves its Info, by GET.
 const InfoPath = "/v1/relay"
 
-// Info is how a relay is.
+// Info is the state of a relay.
 type Info struct {
 	Region  string                `json:"region"`
 	Zone    string                `json:"zone"`
 	Name    string                `json:"name"`
 	Version configuration.Version `json:"version"`
-	// Ready tells whether a council was ever heard; AgeMS is how long ago that was.
-	Ready         bool   `json:"ready"`
-	AgeMS         int64  `json:"age_ms"`
-	Draining      bool   `json:"draining"`
-	Subscribers   int    `json:"subscribers"`    // that were heard within the last quarter of an hour
-	Connections   int64  `json:"connections"`    // that are open
-	SnapshotsNow  int    `json:"snapshots_now"`  // sent and not acknowledged
-	SnapshotsPeak int    `json:"snapshots_peak"` // the most at a time
-	Counts        Counts `json:"counts"`
+	// Ready reports whether the cluster was ever contacted; AgeMS is the time since the last
+	// contact, in milliseconds.
+	Ready             bool   `json:"ready"`
+	AgeMS             int64  `json:"age_ms"`
+	Draining          bool   `json:"draining"`
+	Subscribers       int    `json:"subscribers"`    // that have polled within the last quarter of an hour
+	Connections       int64  `json:"connections"`    // that are open
+	SnapshotsInFlight int    `json:"snapshots_now"`  // sent and not acknowledged
+	SnapshotsPeak     int    `json:"snapshots_peak"` // highest number in flight at a time
+	Counts            Counts `json:"counts"`
 }
 
 func (r *Relay) handler() http.Handler {
@@ -39,63 +40,63 @@
 	return mux
 }
 
-// serveStatus tells how the subscribers stand to a service.
+// serveStatus serves the state of the subscribers for a service.
 func (r *Relay) serveStatus(w http.ResponseWriter, req *http.Request) {
 	service := req.URL.Query().Get(configuration.StatusParameter)
 	if err := configuration.ValidateName(configuration.StatusParameter, service); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	version, heard := r.feed.state()
+	version, last := r.feed.state()
 	now := bootclock.Now()
 	r.mu.Lock()
 	subscribers := r.registry.Status(now, service)
 	r.mu.Unlock()
 	r.writeJSON(w, http.StatusOK, &configuration.StatusResponse{
-		Region: r.file.Region, Version: version, AgeMS: heard.age(now).Milliseconds(), Subscribers: subscribers,
+		Region: r.file.Region, Version: version, AgeMS: last.age(now).Milliseconds(), Subscribers: subscribers,
 	})
 }
 
-// serveInfo tells how the relay is.
+// serveInfo serves the state of the relay.
 func (r *Relay) serveInfo(w http.ResponseWriter, _ *http.Request) {
-	version, heard := r.feed.state()
+	version, last := r.feed.state()
 	now := bootclock.Now()
 	info := &Info{
 		Region: r.file.Region, Zone: r.file.Zone, Name: r.file.Name,
-		Version: version, Ready: heard.known, AgeMS: heard.age(now).Milliseconds(), Draining: r.isDraining(),
-		Connections: r.listener.open.Load(), Counts: r.counts.read(),
+		Version: version, Ready: last.known, AgeMS: last.age(now).Milliseconds(), Draining: r.isDraining(),
+		Connections: r.listener.open.Load(), Counts: r.counters.read(),
 	}
-	info.Counts.ConnectionsRefused = r.listener.refused.Load()
+	info.Counts.ConnectionsRejected = r.listener.rejected.Load()
 	r.mu.Lock()
 	r.registry.ExpireInactive(now)
 	info.Subscribers = r.registry.Len()
-	info.SnapshotsNow, info.SnapshotsPeak = r.admission.decide.InFlight(now), r.admission.decide.Peak()
+	info.SnapshotsInFlight, info.SnapshotsPeak = r.admission.limiter.InFlight(now), r.admission.limiter.Peak()
 	r.mu.Unlock()
 	r.writeJSON(w, http.StatusOK, info)
 }
 
-// reply is the answer to a poll, with when what it tells was heard.
-type reply struct {
+// pollResponse is the response to a poll, with the contact that goes with its version.
+type pollResponse struct {
 	configuration.PollResponse
-	heard hearing
+	contact contact
 }
 
-// writeReply writes a reply with the age that it has now.
-func (r *Relay) writeReply(w http.ResponseWriter, status int, answer *reply) {
-	if answer.ErrorCode == configuration.CodeDraining {
+// writeResponse writes a response with its age at this time.
+func (r *Relay) writeResponse(w http.ResponseWriter, status int, response *pollResponse) {
+	if response.ErrorCode == configuration.CodeDraining {
 		w.Header().Set("Connection", "close")
 	}
 	text := buffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(text)
-	answer.AgeMS = answer.heard.age(bootclock.Now()).Milliseconds()
-	if err := encodeAnswer(text, &answer.PollResponse); err != nil {
+	response.AgeMS = response.contact.age(bootclock.Now()).Milliseconds()
+	if err := encodeResponse(text, &response.PollResponse); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	r.write(w, status, text.Bytes())
 }
 
-// writeJSON writes an answer of another kind.
+// writeJSON writes a status or an Info.
 func (r *Relay) writeJSON(w http.ResponseWriter, status int, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -105,10 +106,12 @@
 	r.write(w, status, text)
 }
 
-// write writes a whole answer, within the time that a subscriber has to read it.
+// write writes a complete response within the file's WriteTimeout.
 func (r *Relay) write(w http.ResponseWriter, status int, text []byte) {
 	controller := http.NewResponseController(w)
-	controller.SetWriteDeadline(time.Now().Add(r.file.WriteTimeout))
+	if err := controller.SetWriteDeadline(time.Now().Add(r.file.WriteTimeout)); err != nil {
+		r.log.Debug("write deadline was not set", "error", err)
+	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
@@ -117,6 +120,6 @@
 		err = controller.Flush()
 	}
 	if err != nil {
-		r.counts.cut.Add(1)
+		r.counters.update(func(counts *Counts) { counts.WriteTimeouts++ })
 	}
 }
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -163,7 +163,7 @@
 		Old: "\tif update.Version < c.version {\n", New: "\tif update.Version == 0 && c.version > 0 {\n",
 		Also: []Edit{
 			{File: "internal/fleet/configuration/cache.go", Old: "if u.From > u.Version || u.From != 0", New: "if u.From != 0"},
-			{File: "internal/fleet/relay/feed.go", Old: "case w.poll.Version > held:", New: "case held == 0 && w.poll.Version > held:"},
+			{File: "internal/fleet/relay/feed.go", Old: "case w.poll.Version > cached:", New: "case cached == 0 && w.poll.Version > cached:"},
 		}},
 
 	// Picks and health.
