--- a/internal/lab/experiment/storm.go
+++ b/internal/lab/experiment/storm.go
@@ -467,7 +467,7 @@
 // Parse reads a storm's text; name stands for the file in errors.
 func Parse(name string, text []byte, short bool, set []string) (*Storm, []error) {
 	s := Defaults()
-	lines, bad := strictfile.DecodePart(name, text, &s)
+	lines, bad := strictfile.DecodePartial(name, text, &s)
 	if len(bad) > 0 {
 		return nil, plain(s.checkRest(name, lines, bad))
 	}
--- a/internal/strictfile/strictfile_test.go
+++ b/internal/strictfile/strictfile_test.go
@@ -16,7 +16,7 @@
 
 type sample struct {
 	Wait  time.Duration `toml:"wait" min:"100ms" max:"5s"`
-	Room  Size          `toml:"room" min:"1KiB" max:"8MiB"`
+	Space Size          `toml:"room" min:"1KiB" max:"8MiB"`
 	Count int           `toml:"count" min:"1" max:"9"`
 	Share float64       `toml:"share" min:"0" max:"1"`
 	On    bool          `toml:"on"`
@@ -27,7 +27,7 @@
 	_ struct{} `toml:"port" refused:"listen"`
 }
 
-func TestDecodeTakesWhatIsWanted(t *testing.T) {
+func TestDecode(t *testing.T) {
 	s := sample{Count: 4}
 	err := Decode("f", []byte(`
 wait = "250ms"
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Wait != 250*time.Millisecond || s.Room != 64<<10 || s.Count != 4 || s.Share != 1 || !s.On || len(s.Words) != 2 {
+	if s.Wait != 250*time.Millisecond || s.Space != 64<<10 || s.Count != 4 || s.Share != 1 || !s.On || len(s.Words) != 2 {
 		t.Errorf("read %+v", s)
 	}
 	if s.Sub.Kind != "red" || len(s.Many) != 2 || s.Many[1].Name != "two" {
@@ -54,8 +54,8 @@
 }
 
 // Every line names file, line, key, what was found and what is wanted, and
-// nothing of a bad file is taken.
-func TestDecodeNamesWhatIsWrong(t *testing.T) {
+// nothing of a file with a fault is applied.
+func TestDecodeNamesEveryFault(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"on = true\nwayt = \"1s\"", `f:2: wayt: found a key that is not known, wanted one of wait, room`},
 		{"on = true\nport = 5", `f:2: port: found a key that is not taken here, wanted listen`},
@@ -86,8 +86,7 @@
 	} {
 		s := sample{Count: 4}
 		err := Decode("f", []byte(c.text), &s)
-		var e *Error
-		if !errors.As(err, &e) {
+		if _, ok := errors.AsType[*Error](err); !ok {
 			t.Errorf("%q: got %v", c.text, err)
 			continue
 		}
@@ -100,10 +99,10 @@
 	}
 }
 
-func TestLoadNamesWhatCannotBeRead(t *testing.T) {
+func TestLoadNamesUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	big := filepath.Join(dir, "big")
-	if err := os.WriteFile(big, make([]byte, MostBytes+1), 0o600); err != nil {
+	if err := os.WriteFile(big, make([]byte, MaxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
@@ -117,8 +116,7 @@
 	}
 }
 
-// FuzzDecode looks for text that panics, or that is said to be wrong in more
-// than a line.
+// FuzzDecode looks for text that panics, or whose error has more than a line.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{"wait = \"1s\"", "[[many]]\nname=\"a\"", "a.b.c = 1", "sub = {name = \"x\", y = [{z=1}]}", "[a]\n[[a.b]]\n[[a.b]]\nc=1"} {
 		f.Add(s)
