--- a/cmd/otterspring/council.go
+++ b/cmd/otterspring/council.go
@@ -63,7 +63,7 @@
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		n, err := server.Open(f, number, begin, log())
+		n, err := server.Open(ctx, f, number, begin, log())
 		if err != nil {
 			return err
 		}
@@ -208,7 +208,7 @@
 
 func councilSnapshot(out io.Writer) *cobra.Command {
 	return ofCouncil("snapshot FILE OUT", "keep what is agreed on in a file", 1, func(f *server.Config, args []string) error {
-		data, err := server.FetchSnapshot(f)
+		data, err := server.FetchSnapshot(context.Background(), f)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/coordination/configuration.go
+++ b/internal/fleet/coordination/configuration.go
@@ -7,12 +7,12 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// configureVersion is the version of commands and state from which on there is a
+// configurationVersion is the version of commands and state from which on there is a
 // configuration.
-const configureVersion = 2
+const configurationVersion = 2
 
-// NewConfigurationChange returns the command that asks for a change, or why no council can
-// agree on it, whatever its configuration holds.
+// NewConfigurationChange returns the command for a change. Its error says why no
+// cluster can apply the change, whatever its configuration is.
 func NewConfigurationChange(change configuration.Change) (Command, error) {
 	if err := change.Check(); err != nil {
 		return Command{}, err
@@ -21,7 +21,7 @@
 	if err != nil {
 		return Command{}, err
 	}
-	return Command{Version: configureVersion, Kind: ChangeConfiguration, Data: data}, nil
+	return Command{Version: configurationVersion, Kind: ChangeConfiguration, Data: data}, nil
 }
 
 // ConfigurationStore returns the configuration, to be read only. It is empty before the
@@ -33,32 +33,32 @@
 	return s.Configuration
 }
 
-// DryRunConfigurationChange returns what a command of kind Configure would come to now. The state
-// stays as it is.
+// DryRunConfigurationChange returns what a command of kind ChangeConfiguration would
+// come to now. The state does not change.
 func (s *State) DryRunConfigurationChange(c Command) Result {
 	trial := State{TokenSpace: s.TokenSpace, Configuration: s.ConfigurationStore().Copy()}
-	return trial.applyConfigure(c)
+	return trial.applyConfigurationChange(c)
 }
 
-// store returns the configuration to be changed. A state that has one is read by
-// programs of configureVersion only.
-func (s *State) store() *configuration.Store {
+// mutableConfiguration returns the configuration to be changed. From then on only
+// programs of configurationVersion can read the state.
+func (s *State) mutableConfiguration() *configuration.Store {
 	if s.Configuration == nil {
 		s.Configuration = &configuration.Store{}
 	}
-	s.Version = max(s.Version, configureVersion)
+	s.Version = max(s.Version, configurationVersion)
 	return s.Configuration
 }
 
-func (s *State) applyConfigure(c Command) Result {
-	if c.Version < configureVersion {
-		return refuse("configure: found a command of version %d, wanted %d", c.Version, configureVersion)
+func (s *State) applyConfigurationChange(c Command) Result {
+	if c.Version < configurationVersion {
+		return reject("configuration: found a command of version %d, wanted %d", c.Version, configurationVersion)
 	}
 	var change configuration.Change
 	if err := json.Unmarshal(c.Data, &change); err != nil {
-		return refuse("configure: %v", err)
+		return reject("configuration: %v", err)
 	}
-	version, err := s.store().Apply(s.TokenSpace, change)
+	version, err := s.mutableConfiguration().Apply(s.TokenSpace, change)
 	if err != nil {
 		var conflict *configuration.ConflictError
 		return Result{Rejection: err.Error(), Conflict: errors.As(err, &conflict)}
@@ -66,13 +66,13 @@
 	return Result{Version: version}
 }
 
-// raiseSpace takes an epoch space that the council has not begun by itself.
-func (s *State) raiseSpace(space uint32) {
+// advanceTokenSpace takes a token space that a receiver has seen.
+func (s *State) advanceTokenSpace(space uint32) {
 	if space <= s.TokenSpace {
 		return
 	}
 	s.TokenSpace = space
-	if s.Configuration != nil { // members of version 1 have none, and come to the same
+	if s.Configuration != nil { // members of version 1 have none, and must not diverge
 		s.Configuration.BeginSpace(space)
 	}
 }
--- a/internal/fleet/coordination/configuration_test.go
+++ b/internal/fleet/coordination/configuration_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"syscall"
@@ -50,8 +51,8 @@
 	if first.Rejection != "" || first.Version != configuration.NewVersion(1, 1) {
 		t.Fatalf("first change: %+v, wanted version 1.1", first)
 	}
-	if s.Version != configureVersion {
-		t.Errorf("state of version %d, wanted %d: an older program would lose the configuration", s.Version, configureVersion)
+	if s.Version != configurationVersion {
+		t.Errorf("state of version %d, wanted %d: an older program would lose the configuration", s.Version, configurationVersion)
 	}
 	change := configuration.Change{ID: "b", Service: "mail", IfVersion: &first.Version, Settings: json.RawMessage(`{"tenants":[]}`)}
 	second := configured(t, s, change)
@@ -142,7 +143,7 @@
 	var early Result
 	var earlyErr error
 	m.Propose(command, func(r Result, err error) { early, earlyErr = r, err })
-	if _, is := earlyErr.(NotLeaderError); !is {
+	if notLeader, is := errors.AsType[NotLeaderError](earlyErr); !is || notLeader != (NotLeaderError{}) {
 		t.Errorf("before it leads: %+v, %v, wanted that another is asked", early, earlyErr)
 	}
 	until(t, m, m.IsLeader)
@@ -160,7 +161,7 @@
 		})
 		until(t, m, func() bool { return result != nil })
 		_, _, after := m.Status()
-		if held := strings.Contains(result.Rejection, "held back"); held != (version == 1) || held != (after == before) {
+		if held := strings.Contains(result.Rejection, "wanted one that all members support"); held != (version == 1) || held != (after == before) {
 			t.Errorf("members of version %d: %+v, entries %d after %d", version, *result, after, before)
 		}
 	}
@@ -190,7 +191,7 @@
 // configuration comes back whole, and is of version 2.
 func TestConfigurationInSnapshots(t *testing.T) {
 	old := []byte(`{"version":1,"council":"x","count":7,"space":1,"duties":{},"orders":null,"facts":{},"able":{},"members":{"1":"a"}}`)
-	s, err := DecodeSnapshot(seal(old))
+	s, err := DecodeSnapshot(addChecksum(old))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/fleet/coordination/membership.go
@@ -0,0 +1,102 @@
+package coordination
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// maxLearnerLag is by how many entries a learner may be behind when it becomes a voter.
+const maxLearnerLag = 2
+
+// ChangeMembership proposes a change of members: ConfChangeAddLearnerNode with an
+// address, ConfChangeAddNode for a learner that is near, ConfChangeRemoveNode. Only one
+// change is in flight at a time, and a member number is used once. done, which may be
+// nil, is called as for Propose.
+func (m *Member) ChangeMembership(kind raftpb.ConfChangeType, id uint64, address string, done func(Result, error)) {
+	if done == nil {
+		done = func(Result, error) {}
+	}
+	if err := m.checkMembershipChange(kind, id); err != nil {
+		done(Result{}, err)
+		return
+	}
+	proposalID, err := m.addProposal(done)
+	if err != nil {
+		m.proposalFailed(proposalID, done, err)
+		return
+	}
+	context, err := json.Marshal(Command{ProposalID: proposalID, Term: m.term(), Subject: address})
+	if err == nil {
+		err = m.node.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &id, Context: context})
+	}
+	m.proposalFailed(proposalID, done, err)
+}
+
+func (m *Member) checkMembershipChange(kind raftpb.ConfChangeType, id uint64) error {
+	switch kind {
+	case raftpb.ConfChangeAddLearnerNode:
+		return m.checkAddLearner(id)
+	case raftpb.ConfChangeAddNode:
+		return m.checkPromoteLearner(id)
+	case raftpb.ConfChangeRemoveNode:
+		return m.checkRemoveMember(id)
+	}
+	return nil
+}
+
+func (m *Member) checkAddLearner(id uint64) error {
+	if _, used := m.state.Members[id]; used {
+		return fmt.Errorf("member %d: found a number that was used before, wanted a new one", id)
+	}
+	if learners := m.Learners(); len(learners) > 0 {
+		return fmt.Errorf("member %d: found member %d still a learner, wanted one change at a time", id, learners[0])
+	}
+	return nil
+}
+
+func (m *Member) checkPromoteLearner(id uint64) error {
+	if !slices.Contains(m.Learners(), id) {
+		return fmt.Errorf("member %d: found no learner, wanted one", id)
+	}
+	if _, commit, _ := m.Status(); m.node.Status().Progress[id].Match+maxLearnerLag < commit {
+		return fmt.Errorf("member %d: found it behind the log, wanted it within %d entries", id, maxLearnerLag)
+	}
+	return nil
+}
+
+func (m *Member) checkRemoveMember(id uint64) error {
+	voters := m.Voters()
+	if !slices.Contains(voters, id) && !slices.Contains(m.Learners(), id) {
+		return fmt.Errorf("member %d: found no such member", id)
+	}
+	if slices.Contains(voters, id) && len(voters) == 1 {
+		return fmt.Errorf("member %d: found the last voter, wanted another one to remain", id)
+	}
+	return nil
+}
+
+// applyMembershipChange applies a committed change of members.
+func (m *Member) applyMembershipChange(entry *raftpb.Entry) error {
+	var change raftpb.ConfChange
+	if err := proto.Unmarshal(entry.Data, &change); err != nil {
+		return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+	}
+	var c Command
+	if change.Context != nil {
+		if err := json.Unmarshal(change.Context, &c); err != nil {
+			return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+		}
+	}
+	m.confState, m.membershipChanged = m.node.ApplyConfChange(&change), true
+	if change.GetType() == raftpb.ConfChangeRemoveNode {
+		m.state.Members[change.GetNodeId()] = "" // the entry remains: the number is not used again
+	} else if c.Subject != "" {
+		m.state.Members[change.GetNodeId()] = c.Subject
+	}
+	m.completeProposal(c, Result{})
+	return nil
+}
--- a/internal/fleet/coordination/server/boundary_test.go
+++ b/internal/fleet/coordination/server/boundary_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
@@ -30,7 +29,7 @@
 func TestKeysOfFileAndMessages(t *testing.T) {
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
 		{Role: "the council's file", Encoding: "toml", Value: Config{}},
-		{Role: "how far a member was known to be", Encoding: "json", Value: marker{}},
+		{Role: "how far a member was known to be", Encoding: "json", Value: logPosition{}},
 	})
 }
 
@@ -40,14 +39,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members := []Address{{1, "127.0.0.1:7001"}, {2, "127.0.0.1:7002"}, {3, "127.0.0.1:7003"}}
+	members := []MemberAddress{{1, "127.0.0.1:7001"}, {2, "127.0.0.1:7002"}, {3, "127.0.0.1:7003"}}
 	if f.Name != "test" || f.Directory != "/var/lib/council" || f.Tick != 50*time.Millisecond || f.Lease != 3*time.Second || f.Margin != 250*time.Millisecond || !slices.Equal(f.Members, members) {
 		t.Errorf("read %+v", f)
 	}
-	if got, want := f.first(), "test#1f696c20"; got != want {
+	if got, want := f.bootstrapCluster(), "test#1f696c20"; got != want {
 		t.Errorf("the council is called %s, wanted %s", got, want)
 	}
-	if got, want := f.directory(2), "/var/lib/council/member-2"; got != want {
+	if got, want := f.memberDirectory(2), "/var/lib/council/member-2"; got != want {
 		t.Errorf("member 2 has directory %s, wanted %s", got, want)
 	}
 }
@@ -63,15 +62,15 @@
 	if err := os.WriteFile(filepath.Join(dir, "council.db"), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	opened, name, d, err := openStore(dir, "test", 2)
+	opened, d, err := openStorage(dir, "test", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if name != "test#0badcafe" || d.HardState.GetTerm() != 4 || d.HardState.GetVote() != 1 || d.HardState.GetCommit() != 30 {
-		t.Errorf("found council %q with %v", name, d.HardState)
+	if opened.cluster != "test#0badcafe" || d.HardState.GetTerm() != 4 || d.HardState.GetVote() != 1 || d.HardState.GetCommit() != 30 {
+		t.Errorf("found cluster %q with %v", opened.cluster, d.HardState)
 	}
 	sealed, err := os.ReadFile("../testdata/state.sealed")
 	if err != nil {
@@ -95,10 +94,10 @@
 	}
 
 	again := t.TempDir()
-	if err := createStore(again, name, 2, d); err != nil {
+	if err := createStorage(again, opened.cluster, 2, d); err != nil {
 		t.Fatal(err)
 	}
-	written, _, _, err := openStore(again, "test", 2)
+	written, _, err := openStorage(again, "test", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,23 +141,26 @@
 	return lines
 }
 
-// member is a process without its file, clock and disk, for its handlers and calls.
-func member(t *testing.T) *Server {
+// startEventLoop returns a server without file, clock and member, for its handlers and
+// calls.
+func startEventLoop(t *testing.T) *Server {
 	t.Helper()
-	n := &Server{file: &Config{Name: "test"}, number: 2, of: "test#0badcafe", log: slog.New(slog.DiscardHandler), events: make(chan func()), heard: map[uint64]marker{1: {Term: 4, Index: 30}}}
-	n.ctx, n.end = context.WithCancel(t.Context())
-	t.Cleanup(n.end)
+	s := &Server{
+		config: &Config{Name: "test"}, number: 2, cluster: "test#0badcafe", log: slog.New(slog.DiscardHandler),
+		events: make(chan func()), stopped: make(chan struct{}), acknowledged: map[uint64]logPosition{1: {Term: 4, Index: 30}},
+	}
+	t.Cleanup(func() { close(s.stopped) })
 	go func() {
 		for {
 			select {
-			case f := <-n.events:
-				f()
-			case <-n.ctx.Done():
+			case event := <-s.events:
+				event()
+			case <-s.stopped:
 				return
 			}
 		}
 	}()
-	return n
+	return s
 }
 
 // Messages between members, as an older version sends them, are understood, and are
@@ -168,8 +170,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := member(t)
-	server := httptest.NewServer(n.handler())
+	s := startEventLoop(t)
+	server := httptest.NewServer(s.handler())
 	defer server.Close()
 	call := func(method, path, name, body string) (int, string) {
 		t.Helper()
@@ -203,9 +205,6 @@
 		{"GET", "/v1/snapshot", "test", "", http.StatusServiceUnavailable},
 		{"GET", "/v1/snapshot", "other", "", http.StatusConflict},
 	} {
-		if test.path == "/v1/ask" && test.status == http.StatusOK {
-			n.store = &store{}
-		}
 		status, text := call(test.method, test.path, test.name, test.body)
 		if status != test.status {
 			t.Errorf("%s %s of %q: status %d, wanted %d: %s", test.method, test.path, test.name, status, test.status, text)
@@ -228,7 +227,7 @@
 		if err := proto.Unmarshal(rest[k:k+int(size)], m); err != nil {
 			t.Fatal(err)
 		}
-		framed = frame(framed, m)
+		framed = appendMessage(framed, m)
 		rest = rest[k+int(size):]
 	}
 	if !bytes.Equal(framed, batch) {
@@ -257,18 +256,18 @@
 	}))
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	n := member(t)
-	if err := n.post(address, []byte("messages")); err != nil {
+	s := startEventLoop(t)
+	if err := s.postMessages(t.Context(), address, []byte("messages")); err != nil {
 		t.Error(err)
 	}
-	if m, err := n.known(address); err != nil || m != (marker{Term: 4, Index: 30}) {
+	if m, err := s.fetchAcknowledged(t.Context(), address); err != nil || m != (logPosition{Term: 4, Index: 30}) {
 		t.Errorf("known: %+v, %v", m, err)
 	}
-	f := &Config{Name: "test", Members: []Address{{1, address}}}
-	if data, err := FetchSnapshot(f); err != nil || string(data) != "kept" {
+	f := &Config{Name: "test", Members: []MemberAddress{{1, address}}}
+	if data, err := FetchSnapshot(t.Context(), f); err != nil || string(data) != "kept" {
 		t.Errorf("snapshot: %q, %v", data, err)
 	}
-	if name, err := askName(f, 2); err != nil || name != "test#0badcafe" {
+	if name, err := findCluster(t.Context(), f, 2); err != nil || name != "test#0badcafe" {
 		t.Errorf("name: %q, %v", name, err)
 	}
 	want := []string{
--- a/internal/fleet/coordination/server/config.go
+++ b/internal/fleet/coordination/server/config.go
@@ -1,5 +1,3 @@
-// Package node runs a council's member: its file, disk, clock, listener and the
-// ways to the others. What the council agrees on is decided by package council.
 package server
 
 import (
@@ -15,100 +13,133 @@
 	"otterspring/internal/strictfile"
 )
 
-// Config is a council's file, the same for all members.
+// Config is the file of a cluster, the same for all members. The operators' pages call
+// the cluster a council.
 type Config struct {
-	Path      string
-	Name      string        `toml:"name" need:"true"`
-	Directory string        `toml:"directory" need:"true"` // a member adds its number
-	Tick      time.Duration `toml:"tick" min:"10ms" max:"1s"`
-	Lease     time.Duration `toml:"lease" min:"100ms" max:"5m"`
-	Margin    time.Duration `toml:"margin" min:"1ms" max:"1m"`
-	Members   []Address     `toml:"member" max:"7"`
+	Path      string          // of the file; not a setting
+	Name      string          `toml:"name" need:"true"`
+	Directory string          `toml:"directory" need:"true"`      // absolute; each member has a directory in it
+	Tick      time.Duration   `toml:"tick" min:"10ms" max:"1s"`   // 100ms by default
+	Lease     time.Duration   `toml:"lease" min:"100ms" max:"5m"` // duration of a lease; 5s by default
+	Margin    time.Duration   `toml:"margin" min:"1ms" max:"1m"`  // by which a holder stops early; 500ms by default
+	Members   []MemberAddress `toml:"member" max:"7"`
 }
 
-// Address is where a member listens.
-type Address struct {
+// MemberAddress is where a member listens.
+type MemberAddress struct {
 	Number  int    `toml:"number" min:"1" max:"1000000"`
-	Address string `toml:"address" need:"true"`
+	Address string `toml:"address" need:"true"` // IP address and port
 }
 
-// LoadConfig reads a council's file and checks it whole.
+// maxClusterNameBytes leaves room in a name for the number behind it.
+const maxClusterNameBytes = coordination.MaxNameBytes / 2
+
+// LoadConfig reads and checks a cluster's file. Its error is a strictfile.Error with
+// the place, what was found and what was expected.
 func LoadConfig(path string) (*Config, error) {
-	f := &Config{Tick: 100 * time.Millisecond, Lease: 5 * time.Second, Margin: 500 * time.Millisecond}
-	if err := strictfile.Load(path, f); err != nil {
+	config := &Config{Tick: 100 * time.Millisecond, Lease: 5 * time.Second, Margin: 500 * time.Millisecond}
+	if err := strictfile.Load(path, config); err != nil {
 		return nil, err
 	}
-	f.Path = path
-	if !filepath.IsAbs(f.Directory) {
-		abs, err := filepath.Abs(filepath.Join(filepath.Dir(path), f.Directory))
+	config.Path = path
+	if !filepath.IsAbs(config.Directory) {
+		directory, err := filepath.Abs(filepath.Join(filepath.Dir(path), config.Directory))
 		if err != nil {
 			return nil, err
 		}
-		f.Directory = abs
+		config.Directory = directory
+	}
+	if strings.ContainsAny(config.Name, "# \n") || len(config.Name) > maxClusterNameBytes {
+		return nil, config.invalid("name", fmt.Sprintf("%q", config.Name), fmt.Sprintf("1 to %d bytes without blanks and #", maxClusterNameBytes))
 	}
-	if strings.ContainsAny(f.Name, "# \n") || len(f.Name) > coordination.MaxNameBytes/2 {
-		return nil, f.bad("name", fmt.Sprintf("%q", f.Name), fmt.Sprintf("1 to %d bytes without blanks and #", coordination.MaxNameBytes/2))
+	if err := config.checkMembers(); err != nil {
+		return nil, err
+	}
+	if err := config.checkTimes(); err != nil {
+		return nil, err
 	}
-	if n := len(f.Members); n%2 == 0 {
-		return nil, f.bad("member", fmt.Sprintf("%d members", n), "an odd number: one more than an odd number bears no more failures")
+	return config, nil
+}
+
+func (c *Config) checkMembers() error {
+	if n := len(c.Members); n%2 == 0 {
+		return c.invalid("member", fmt.Sprintf("%d members", n), "an odd number: one more than an odd number tolerates no more failures")
 	}
-	numbers, addresses := map[int]bool{}, map[string]int{}
-	for _, m := range f.Members {
-		addr, err := netip.ParseAddrPort(m.Address)
+	numbers, addresses := map[int]bool{}, map[netip.AddrPort]int{}
+	for _, m := range c.Members {
+		address, err := netip.ParseAddrPort(m.Address)
 		switch {
-		case err != nil || addr.Port() == 0:
-			return nil, f.bad("member.address", fmt.Sprintf("%q", m.Address), "an IP address and a port")
+		case err != nil || address.Port() == 0:
+			return c.invalid("member.address", fmt.Sprintf("%q", m.Address), "an IP address and a port")
 		case m.Number == 0 || numbers[m.Number]:
-			return nil, f.bad("member.number", fmt.Sprintf("%d for %s", m.Number, m.Address), "each member's own, from 1")
-		case addresses[addr.String()] != 0:
-			return nil, f.bad("member.address", fmt.Sprintf("%s for members %d and %d", addr, addresses[addr.String()], m.Number), "each member its own")
+			return c.invalid("member.number", fmt.Sprintf("%d for %s", m.Number, m.Address), "each member's own, from 1")
+		case addresses[address] != 0:
+			return c.invalid("member.address", fmt.Sprintf("%s for members %d and %d", address, addresses[address], m.Number), "each member its own")
 		}
-		numbers[m.Number], addresses[addr.String()] = true, m.Number
+		numbers[m.Number], addresses[address] = true, m.Number
 	}
-	if f.Margin >= f.Lease {
-		return nil, f.bad("lease", f.Lease.String(), fmt.Sprintf("more than the margin (%v): an owner could never act", f.Margin))
+	return nil
+}
+
+func (c *Config) checkTimes() error {
+	if c.Margin >= c.Lease {
+		return c.invalid("lease", c.Lease.String(), fmt.Sprintf("more than the margin (%v): a lease holder could never act", c.Margin))
 	}
-	if least := 2 * coordination.ElectionTicks * f.Tick; f.Lease < least {
-		return nil, f.bad("lease", f.Lease.String(), fmt.Sprintf("%v (two elections) at least: else each change of leader ends each tenure", least))
+	if least := 2 * coordination.ElectionTicks * c.Tick; c.Lease < least {
+		return c.invalid("lease", c.Lease.String(), fmt.Sprintf("%v (two elections) at least: else each change of leader ends each leadership", least))
 	}
-	return f, nil
+	return nil
 }
 
-func (f *Config) bad(key, found, wanted string) error {
-	return &strictfile.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
+func (c *Config) invalid(key, found, wanted string) error {
+	return &strictfile.Error{File: c.Path, Key: key, Found: found, Wanted: wanted}
 }
 
-// members are the addresses by number.
-func (f *Config) members() map[uint64]string {
-	all := map[uint64]string{}
-	for _, m := range f.Members {
-		all[uint64(m.Number)] = m.Address
+// Addresses returns those of all members, in the order of the file.
+func (c *Config) Addresses() (all []string) {
+	for _, m := range c.Members {
+		all = append(all, m.Address)
 	}
 	return all
 }
 
-// Addresses are those of all members.
-func (f *Config) Addresses() (all []string) {
-	for _, m := range f.Members {
-		all = append(all, m.Address)
+// memberAddresses returns the addresses by member number.
+func (c *Config) memberAddresses() map[uint64]string {
+	all := map[uint64]string{}
+	for _, m := range c.Members {
+		all[uint64(m.Number)] = m.Address
 	}
 	return all
 }
 
-// first is the council's name with the number of the members that it began with:
-// two councils that were given one name by mistake don't take each other's words.
-func (f *Config) first() string {
-	var b strings.Builder
-	for _, m := range f.Members {
-		fmt.Fprintf(&b, "%d %s\n", m.Number, m.Address)
+func (c *Config) errUnknownMember(number uint64) error {
+	return c.invalid("member", fmt.Sprintf("no member %d", number), "the number of one in the file")
+}
+
+// bootstrapCluster returns the identity of a new cluster: its name with a number made
+// from its first members. Two clusters with one name by mistake reject each other's
+// messages.
+func (c *Config) bootstrapCluster() string {
+	var members strings.Builder
+	for _, m := range c.Members {
+		fmt.Fprintf(&members, "%d %s\n", m.Number, m.Address)
 	}
-	return fmt.Sprintf("%s#%08x", f.Name, uint32(xxhash.Sum64String(b.String())))
+	return clusterID(c.Name, uint32(xxhash.Sum64String(members.String())))
+}
+
+// clusterID returns a cluster's identity, as in west#01234567.
+func clusterID(name string, number uint32) string { return fmt.Sprintf("%s#%08x", name, number) }
+
+// clusterName returns the name in a cluster's identity, or in a name alone.
+func clusterName(id string) string {
+	name, _, _ := strings.Cut(id, "#")
+	return name
 }
 
-// timers is the lease in ticks of a member.
-func (f *Config) ticks() uint64 { return uint64((f.Lease + f.Tick - 1) / f.Tick) }
+// leaseTicks returns the duration of a lease in ticks of a member, rounded up.
+func (c *Config) leaseTicks() uint64 { return uint64((c.Lease + c.Tick - 1) / c.Tick) }
 
-// directory is a member's own.
-func (f *Config) directory(member uint64) string {
-	return filepath.Join(f.Directory, fmt.Sprintf("member-%d", member))
+// memberDirectory returns a member's own directory.
+func (c *Config) memberDirectory(number uint64) string {
+	return filepath.Join(c.Directory, fmt.Sprintf("member-%d", number))
 }
--- a/internal/fleet/coordination/server/service_configuration_test.go
+++ b/internal/fleet/coordination/server/configuration_test.go
@@ -75,7 +75,7 @@
 	if s := w.asks(client.Request{Kind: client.ReadState}).State; s.Configuration != nil {
 		t.Error("the state of a supervisor's question carries the configuration")
 	}
-	if snapshot, err := FetchSnapshot(w.file); err != nil || !strings.Contains(string(snapshot), "quota-per-s") {
+	if snapshot, err := FetchSnapshot(t.Context(), w.file); err != nil || !strings.Contains(string(snapshot), "quota-per-s") {
 		t.Errorf("a snapshot to be kept lacks the configuration (%v)", err)
 	}
 
@@ -224,7 +224,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), client.MaxWait-time.Second)
 		defer cancel()
 		q := client.Request{Kind: client.WatchConfiguration, Version: newer, WaitMS: int(client.MaxWait.Milliseconds())}
-		a, err := client.Call(ctx, http.DefaultClient, w.file.members()[uint64(other)], "test", q)
+		a, err := client.Call(ctx, http.DefaultClient, w.file.memberAddresses()[uint64(other)], "test", q)
 		if err != nil {
 			a = &client.Response{Rejection: err.Error()}
 		}
--- a/internal/fleet/coordination/server/restore.go
+++ b/internal/fleet/coordination/server/restore.go
@@ -15,77 +15,110 @@
 	"otterspring/internal/fleet/coordination/client"
 )
 
-// FetchSnapshot asks the leader for what is agreed on.
-func FetchSnapshot(f *Config) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+const (
+	snapshotPath    = "/v1/snapshot"
+	snapshotTimeout = 10 * time.Second
+)
+
+// ErrOlderSnapshot is returned for a snapshot that is older than the member's state.
+var ErrOlderSnapshot = errors.New("snapshot is older than the member's state: -older is needed")
+
+// FetchSnapshot returns an encoded snapshot of the agreed state from the cluster's
+// leader, within 10 s.
+func FetchSnapshot(ctx context.Context, config *Config) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	why := errors.New("found no member, wanted one")
-	for _, m := range f.Members {
-		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+m.Address+"/v1/snapshot", nil)
-		if err != nil {
-			return nil, err
-		}
-		req.Header.Set(client.ClusterHeader, f.Name)
-		r, err := http.DefaultClient.Do(req)
-		if err != nil {
-			why = err
-			continue
-		}
-		data, err := io.ReadAll(io.LimitReader(r.Body, coordination.MaxSnapshotBytes+1))
-		r.Body.Close()
-		if err == nil && r.StatusCode == http.StatusOK {
+	lastErr := errors.New("found no member, wanted one")
+	for _, m := range config.Members {
+		data, err := fetchSnapshotFrom(ctx, m.Address, config.Name)
+		if err == nil {
 			return data, nil
 		}
-		why = fmt.Errorf("%s: status %d, %.100s", m.Address, r.StatusCode, data)
+		lastErr = err
+	}
+	return nil, lastErr
+}
+
+func fetchSnapshotFrom(ctx context.Context, address, cluster string) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+snapshotPath, nil)
+	if err != nil {
+		return nil, err
+	}
+	req.Header.Set(client.ClusterHeader, cluster)
+	r, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	defer r.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(r.Body, coordination.MaxSnapshotBytes+1))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", address, err)
 	}
-	return nil, why
+	if r.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("%s: status %d, %.100s", address, r.StatusCode, data)
+	}
+	return data, nil
 }
 
-// Restore makes the disk of the one member that a council is brought back with. A
-// state that the directory has is put aside, where it is no newer than the
-// snapshot or older says that it may be. It returns the council's new name.
-func Restore(f *Config, number uint64, data []byte, space uint32, older bool) (string, error) {
-	address, known := f.members()[number]
+// Restore creates the file of the one member that a cluster is restored with, from a
+// snapshot that FetchSnapshot returned, in a new token space. A file that the member
+// has is renamed; if its state is newer than the snapshot, that takes allowOlder, else
+// the error wraps ErrOlderSnapshot. It returns the cluster's new identity.
+func Restore(config *Config, number uint64, snapshot []byte, space uint32, allowOlder bool) (string, error) {
+	address, known := config.memberAddresses()[number]
 	if !known {
-		return "", f.bad("member", fmt.Sprintf("no member %d", number), "the number of one in the file")
+		return "", config.errUnknownMember(number)
 	}
-	s, err := coordination.DecodeSnapshot(data)
+	state, err := coordination.DecodeSnapshot(snapshot)
 	if err != nil {
 		return "", err
 	}
-	if nameOf(s.Cluster) != f.Name {
-		return "", fmt.Errorf("snapshot: found council %q, wanted %q", nameOf(s.Cluster), f.Name)
+	if name := clusterName(state.Cluster); name != config.Name {
+		return "", fmt.Errorf("snapshot: found cluster %q, wanted %q", name, config.Name)
 	}
-	dir := f.directory(number)
-	old, _, d, err := openStore(dir, f.Name, number)
-	switch {
-	case errors.Is(err, errEmpty):
-	case err != nil:
+	directory := config.memberDirectory(number)
+	exists, err := checkReplaceable(directory, config.Name, number, state.LogicalClock, allowOlder)
+	if err != nil {
 		return "", err
-	default:
-		old.db.Close()
-		n, err := d.LogicalClock()
-		if err != nil {
-			return "", fmt.Errorf("%s: %w", dir, err)
-		}
-		if n > s.LogicalClock && !older {
-			return "", fmt.Errorf("snapshot: found count %d, wanted %d (what %s has) or more, or the word -older", s.LogicalClock, n, dir)
-		}
 	}
-	// The name changes with the space: members of before are not of this council.
-	s.Cluster = fmt.Sprintf("%s#%08x", f.Name, space)
-	sealed, err := coordination.EncodeSnapshot(s)
+	// The identity changes with the token space: members of before the restore are not of
+	// this cluster.
+	state.Cluster = clusterID(config.Name, space)
+	data, err := coordination.EncodeSnapshot(state)
 	if err != nil {
 		return "", err
 	}
-	first, err := coordination.RestoredState(&raftpb.Snapshot{Data: sealed}, number, address, space)
+	initial, err := coordination.RestoredState(&raftpb.Snapshot{Data: data}, number, address, space)
 	if err != nil {
 		return "", err
 	}
-	if old != nil {
-		if err := disk.Rename(storePath(dir), storePath(dir)+".before"); err != nil {
+	if exists {
+		if err := disk.Rename(storagePath(directory), storagePath(directory)+".before"); err != nil {
 			return "", err
 		}
 	}
-	return s.Cluster, createStore(dir, s.Cluster, number, first)
+	return state.Cluster, createStorage(directory, state.Cluster, number, initial)
+}
+
+// checkReplaceable reports whether the member has a file, and returns an error if it
+// may not be replaced by a snapshot with a logical clock.
+func checkReplaceable(directory, name string, number, snapshotClock uint64, allowOlder bool) (exists bool, err error) {
+	existing, stored, err := openStorage(directory, name, number)
+	if errors.Is(err, errNoState) {
+		return false, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	if err := existing.db.Close(); err != nil {
+		return true, err
+	}
+	clock, err := stored.LogicalClock()
+	if err != nil {
+		return true, fmt.Errorf("%s: %w", directory, err)
+	}
+	if clock > snapshotClock && !allowOlder {
+		return true, fmt.Errorf("snapshot: found logical clock %d, wanted %d (that of %s) or more: %w", snapshotClock, clock, directory, ErrOlderSnapshot)
+	}
+	return true, nil
 }
--- a/internal/fleet/coordination/server/server_test.go
+++ b/internal/fleet/coordination/server/server_test.go
@@ -34,8 +34,9 @@
 		f, err := LoadConfig(words[0])
 		if err == nil {
 			var n *Server
-			if n, err = Open(f, number, StartMode(begin), slog.New(slog.NewTextHandler(os.Stderr, nil))); err == nil {
-				ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+			defer stop()
+			if n, err = Open(ctx, f, number, StartMode(begin), slog.New(slog.NewTextHandler(os.Stderr, nil))); err == nil {
 				err = n.Run(ctx)
 			}
 		}
@@ -162,7 +163,7 @@
 func (w *world) one(i int, q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	return client.Call(ctx, http.DefaultClient, w.file.members()[uint64(i)], "test", q)
+	return client.Call(ctx, http.DefaultClient, w.file.memberAddresses()[uint64(i)], "test", q)
 }
 
 // leader awaits a leader and returns its number.
@@ -276,7 +277,7 @@
 	w.take("h1")
 	// Yesterday's disk.
 	w.kill(2)
-	own := storePath(w.file.directory(2))
+	own := storagePath(w.file.memberDirectory(2))
 	yesterday, err := os.ReadFile(own)
 	if err != nil {
 		t.Fatal(err)
@@ -295,9 +296,9 @@
 	today, _ := os.ReadFile(own)
 	os.WriteFile(own, yesterday, 0o600)
 	w.start(2, Resume)
-	w.refused(2, "this disk is an older one")
+	w.refused(2, ErrStaleDisk.Error())
 	// Another member's, and a second process on one's own.
-	text, _ := os.ReadFile(storePath(w.file.directory(3)))
+	text, _ := os.ReadFile(storagePath(w.file.memberDirectory(3)))
 	w.kill(3)
 	os.WriteFile(own, text, 0o600)
 	w.start(2, Resume)
@@ -307,7 +308,7 @@
 	w.leader(0)
 	c := w.procs[2]
 	w.start(2, Resume)
-	w.refused(2, "another member has this directory")
+	w.refused(2, errDirectoryInUse.Error())
 	w.procs[2] = c
 	// A newer program's, and another council's.
 	w.kill(2)
@@ -315,12 +316,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyForm, number(form+1)) })
+	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyFormat, encodeNumber(formatVersion+1)) })
 	db.Close()
 	w.start(2, Resume)
 	w.refused(2, "a newer program wrote it")
 	w.start(1, Bootstrap)
-	w.refused(1, "found a state, wanted none")
+	w.refused(1, errStateExists.Error())
 }
 
 // Two councils that were given one name: neither takes the other's words.
@@ -394,7 +395,7 @@
 	for i := 4; i <= 5; i++ {
 		for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
 			a, err := w.client(client.Request{Kind: client.AddMember, Member: uint64(i), Address: all[i-1].Address})
-			if err == nil && a.Rejection == "" || a != nil && strings.Contains(a.Rejection, "given out before") {
+			if err == nil && a.Rejection == "" || a != nil && strings.Contains(a.Rejection, "used before") {
 				break
 			}
 			if time.Now().After(end) {
@@ -405,7 +406,7 @@
 		want := []string{"[1 2 3 4] []", "[1 2 3 4 5] []"}[i-4]
 		voters(want)
 	}
-	if a, err := w.client(client.Request{Kind: client.AddMember, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "given out before") {
+	if a, err := w.client(client.Request{Kind: client.AddMember, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "used before") {
 		t.Errorf("number 4 a second time: %+v %v", a, err)
 	}
 	// Two of five die, and three go on; the first is replaced by nobody.
@@ -440,7 +441,7 @@
 		w.start(i, Bootstrap)
 	}
 	w.take("h1")
-	snap, err := FetchSnapshot(w.file)
+	snap, err := FetchSnapshot(t.Context(), w.file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -449,7 +450,7 @@
 	for i := 1; i <= 3; i++ {
 		w.kill(i)
 	}
-	if _, err := Restore(w.file, 2, snap, 2, false); err == nil || !strings.Contains(err.Error(), "or the word -older") {
+	if _, err := Restore(w.file, 2, snap, 2, false); !errors.Is(err, ErrOlderSnapshot) {
 		t.Errorf("restored an older snapshot: %v", err)
 	}
 	if _, err := Restore(w.file, 2, snap, 1, true); err == nil || !strings.Contains(err.Error(), "wanted more than the snapshot's 1") {
--- /dev/null
+++ b/internal/fleet/coordination/server/startup.go
@@ -0,0 +1,215 @@
+package server
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/inject"
+)
+
+const (
+	acknowledgedPath = "/known"
+	// maxAcknowledgedBytes bounds the response to a GET of acknowledgedPath.
+	maxAcknowledgedBytes = 1024
+	findClusterTimeout   = 5 * time.Second
+	// startRetryTicks is the time between two rounds of startMember.
+	startRetryTicks = 2
+	// advertiseRetryTicks is the time between two attempts of advertiseVersion.
+	advertiseRetryTicks = 10
+)
+
+// ErrStaleDisk is the error of a member whose file is older than what the member has
+// acknowledged to others: it was restored from a copy.
+var ErrStaleDisk = errors.New("the member's file is older than what it has acknowledged; replace the member")
+
+// logPosition is how far a member's log was known to be. It is sent as JSON.
+type logPosition struct {
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
+}
+
+// after reports whether the position has a newer term or a greater index than another.
+func (p logPosition) after(other logPosition) bool {
+	return p.Term > other.Term || p.Index > other.Index
+}
+
+// storedPosition returns the position of what a member has stored.
+func storedPosition(stored coordination.PersistentState) logPosition {
+	position := logPosition{Term: stored.HardState.GetTerm(), Index: stored.Snapshot.GetMetadata().GetIndex()}
+	if n := len(stored.Entries); n > 0 {
+		position.Index = stored.Entries[n-1].GetIndex()
+	}
+	return position
+}
+
+// findCluster asks the other members of a file for the cluster's identity.
+func findCluster(ctx context.Context, config *Config, number uint64) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, findClusterTimeout)
+	defer cancel()
+	var httpClient http.Client
+	for other, address := range config.memberAddresses() {
+		if other == number {
+			continue
+		}
+		response, err := client.Call(ctx, &httpClient, address, config.Name, client.Request{Kind: client.WatchLeases})
+		if err == nil && clusterName(response.Cluster) == config.Name {
+			return response.Cluster, nil
+		}
+	}
+	return "", fmt.Errorf("%s: found no member of cluster %q that responds, wanted one to join it", config.Path, config.Name)
+}
+
+// startMember starts the member when a majority, itself included, has confirmed that
+// its file is not older than what it has acknowledged: a member with an older file
+// could vote or acknowledge entries a second time. It asks all members until they
+// respond.
+func (s *Server) startMember(ctx context.Context) {
+	position := storedPosition(s.stored)
+	members := s.storedMembers()
+	answered := map[uint64]bool{s.number: true}
+	for len(answered) < len(members)/2+1 && ctx.Err() == nil {
+		for number, address := range members {
+			if answered[number] {
+				continue
+			}
+			acknowledged, err := s.fetchAcknowledged(ctx, address)
+			if err != nil {
+				continue // asked again in the next round
+			}
+			answered[number] = true
+			if acknowledged.after(position) {
+				s.execute(ctx, func() {
+					s.startError = fmt.Errorf("%s: found term %d and entry %d, wanted %d and %d at least, which member %d has acknowledgements of: %w",
+						s.storage.path, position.Term, position.Index, acknowledged.Term, acknowledged.Index, number, ErrStaleDisk)
+				})
+				return
+			}
+		}
+		sleep(ctx, startRetryTicks*s.config.Tick)
+	}
+	s.execute(ctx, func() {
+		if s.member, s.startError = coordination.NewMember(s.number, s.stored, s.config.leaseTicks()); s.startError == nil {
+			s.member.Incarnation = rand.Uint64()
+		}
+		s.stored = coordination.PersistentState{}
+	})
+}
+
+// storedMembers returns the addresses of the members in the stored snapshot, or in the
+// file of the cluster where there is no snapshot.
+func (s *Server) storedMembers() map[uint64]string {
+	state, err := coordination.DecodeSnapshot(s.stored.Snapshot.GetData())
+	if err != nil {
+		return s.config.memberAddresses()
+	}
+	members := map[uint64]string{}
+	for number, address := range state.Members {
+		if address != "" {
+			members[number] = address
+		}
+	}
+	return members
+}
+
+// fetchAcknowledged asks a member for the newest position that this one has
+// acknowledged to it.
+func (s *Server) fetchAcknowledged(ctx context.Context, address string) (position logPosition, err error) {
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
+	defer cancel()
+	url := fmt.Sprintf("http://%s%s?member=%d", address, acknowledgedPath, s.number)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return position, err
+	}
+	req.Header.Set(client.ClusterHeader, s.cluster)
+	if err := inject.Way(ctx, address); err != nil {
+		return position, err
+	}
+	r, err := s.http.Do(req)
+	if err != nil {
+		return position, err
+	}
+	defer r.Body.Close()
+	if r.StatusCode != http.StatusOK {
+		return position, fmt.Errorf("%s: status %d", address, r.StatusCode)
+	}
+	return position, json.NewDecoder(io.LimitReader(r.Body, maxAcknowledgedBytes)).Decode(&position)
+}
+
+// recordAcknowledgement records what a message of another member acknowledges.
+func (s *Server) recordAcknowledgement(message *raftpb.Message) {
+	position := s.acknowledged[message.GetFrom()]
+	switch message.GetType() {
+	case raftpb.MsgAppResp:
+		if !message.GetReject() {
+			position.Index = max(position.Index, message.GetIndex())
+		}
+		position.Term = max(position.Term, message.GetTerm())
+	case raftpb.MsgVoteResp:
+		position.Term = max(position.Term, message.GetTerm())
+	default: // acknowledges nothing
+	}
+	s.acknowledged[message.GetFrom()] = position
+}
+
+// advertiseVersion proposes the version of commands that this member can apply, until
+// the state has it. A member that was downgraded advertises its older one.
+func (s *Server) advertiseVersion(ctx context.Context) {
+	for ctx.Err() == nil {
+		advertised, started := 0, false
+		var addresses []string
+		if !s.execute(ctx, func() {
+			if started = s.member != nil; started {
+				advertised = s.member.State().SupportedVersions[s.number]
+				addresses = s.allAddresses()
+			}
+		}) || started && advertised == coordination.StateVersion {
+			return
+		}
+		if started {
+			s.proposeVersion(ctx, addresses)
+		}
+		sleep(ctx, advertiseRetryTicks*s.config.Tick)
+	}
+}
+
+// allAddresses returns the known addresses of all members. On the goroutine of Run.
+func (s *Server) allAddresses() (addresses []string) {
+	for number := range s.member.State().Members {
+		if address := s.address(number); address != "" {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
+
+func (s *Server) proposeVersion(ctx context.Context, addresses []string) {
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
+	defer cancel()
+	cluster := client.NewClient(s.cluster, addresses)
+	defer cluster.Close()
+	request := client.Request{Kind: client.AdvertiseVersion, Member: s.number, Token: coordination.StateVersion}
+	if _, err := cluster.Do(ctx, request); err != nil {
+		s.log.Debug("version not advertised; retrying", "version", coordination.StateVersion, "error", err)
+	}
+}
+
+// sleep returns after a duration, or when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
--- /dev/null
+++ b/internal/fleet/coordination/server/storage.go
@@ -0,0 +1,268 @@
+package server
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"otterspring/internal/disk"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/inject"
+)
+
+// Buckets and keys of a member's file. Older versions read and write them: they do not
+// change. The bucket log has an entry by its index, as 8 bytes, big endian.
+var (
+	bucketMeta   = []byte("meta")
+	bucketLog    = []byte("log")
+	keyMember    = []byte("member")
+	keyCluster   = []byte("council")
+	keyFormat    = []byte("form")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
+)
+
+const (
+	// formatVersion is that of the file's layout.
+	formatVersion = 1
+	// lockTimeout bounds the wait for another process that has the file open.
+	lockTimeout = time.Second
+)
+
+var (
+	// errNoState is the error for a directory without a member's file.
+	errNoState = errors.New("no state")
+	// errStateExists is the error for a directory that has one.
+	errStateExists = errors.New("found a state, wanted none: an existing member is started by run without -new and -join")
+	// errDirectoryInUse is the error for a file that another process has open.
+	errDirectoryInUse = errors.New("another member has this directory")
+)
+
+// storage is a member's file. It belongs to the goroutine of Server.Run.
+type storage struct {
+	db        *bolt.DB
+	path      string
+	cluster   string            // identity of the cluster that the member is of
+	hardState *raftpb.HardState // not written yet; nil if it is
+	syncs     int               // synced writes since the start
+}
+
+func storagePath(directory string) string { return filepath.Join(directory, "council.db") }
+
+// createStorage writes the file of a new member. It returns errStateExists for a
+// directory that has one.
+func createStorage(directory, cluster string, member uint64, initial coordination.PersistentState) error {
+	if err := disk.MkdirAll(directory, 0o700); err != nil {
+		return err
+	}
+	path := storagePath(directory)
+	if _, err := os.Stat(path); err == nil {
+		return fmt.Errorf("%s: %w", directory, errStateExists)
+	}
+	created, err := openDatabase(path + ".new")
+	if err != nil {
+		return err
+	}
+	err = created.update(func(tx *bolt.Tx) error {
+		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
+		if err == nil {
+			_, err = tx.CreateBucketIfNotExists(bucketLog)
+		}
+		if err != nil {
+			return err
+		}
+		return errors.Join(meta.Put(keyFormat, encodeNumber(formatVersion)), meta.Put(keyMember, encodeNumber(member)), meta.Put(keyCluster, []byte(cluster)))
+	})
+	if err == nil {
+		err = created.save(coordination.Ready{HardState: initial.HardState, Snapshot: initial.Snapshot, MustSync: true})
+	}
+	if err = errors.Join(err, created.db.Close()); err != nil {
+		return err
+	}
+	return disk.Rename(path+".new", path)
+}
+
+func openDatabase(path string) (*storage, error) {
+	if err := inject.Disk("open", path); err != nil {
+		return nil, err
+	}
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
+	switch {
+	case errors.Is(err, bolterrors.ErrTimeout):
+		return nil, fmt.Errorf("%s: %w", filepath.Dir(path), errDirectoryInUse)
+	case err != nil:
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return &storage{db: db, path: path}, nil
+}
+
+// openStorage opens and reads a member's file. It returns errNoState for a directory
+// without one, and an error for the file of another member, of a cluster with another
+// name, or of a newer program.
+func openStorage(directory, name string, member uint64) (*storage, coordination.PersistentState, error) {
+	var stored coordination.PersistentState
+	if _, err := os.Stat(storagePath(directory)); err != nil {
+		return nil, stored, fmt.Errorf("%s: %w", directory, errNoState)
+	}
+	opened, err := openDatabase(storagePath(directory))
+	if err != nil {
+		return nil, stored, err
+	}
+	err = opened.db.View(func(tx *bolt.Tx) error {
+		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+		if meta == nil || log == nil {
+			return errors.New("found no member's state")
+		}
+		opened.cluster = string(meta.Get(keyCluster))
+		if err := checkMeta(meta, name, member); err != nil {
+			return err
+		}
+		return readState(meta, log, &stored)
+	})
+	if err != nil {
+		return nil, coordination.PersistentState{}, errors.Join(fmt.Errorf("%s: %w", directory, err), opened.db.Close())
+	}
+	return opened, stored, nil
+}
+
+// checkMeta returns an error if the file is not the member's.
+func checkMeta(meta *bolt.Bucket, name string, member uint64) error {
+	version, owner, cluster := decodeNumber(meta.Get(keyFormat)), decodeNumber(meta.Get(keyMember)), string(meta.Get(keyCluster))
+	switch {
+	case version > formatVersion:
+		return fmt.Errorf("found format version %d, wanted %d at most: a newer program wrote it", version, formatVersion)
+	case owner != member:
+		return fmt.Errorf("found the state of member %d, wanted member %d's", owner, member)
+	case clusterName(cluster) != name:
+		return fmt.Errorf("found the state of cluster %q, wanted %q's", clusterName(cluster), name)
+	}
+	return nil
+}
+
+// readState reads what the member has stored.
+func readState(meta, log *bolt.Bucket, stored *coordination.PersistentState) error {
+	if value := meta.Get(keyHardState); value != nil {
+		stored.HardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(value, stored.HardState); err != nil {
+			return err
+		}
+	}
+	if value := meta.Get(keySnapshot); value != nil {
+		stored.Snapshot = &raftpb.Snapshot{}
+		if err := proto.Unmarshal(value, stored.Snapshot); err != nil {
+			return err
+		}
+	}
+	return log.ForEach(func(_, value []byte) error {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(value, entry); err != nil {
+			return err
+		}
+		if entry.GetIndex() > stored.Snapshot.GetMetadata().GetIndex() {
+			stored.Entries = append(stored.Entries, entry)
+		}
+		return nil
+	})
+}
+
+func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+
+// decodeNumber returns 0 for what is no number.
+func decodeNumber(b []byte) uint64 {
+	if len(b) != 8 {
+		return 0
+	}
+	return binary.BigEndian.Uint64(b)
+}
+
+func (s *storage) update(write func(*bolt.Tx) error) error {
+	if err := inject.Disk("write", s.path); err != nil {
+		return err
+	}
+	if err := inject.Disk("sync", s.path); err != nil {
+		return err
+	}
+	s.syncs++
+	if err := s.db.Update(write); err != nil {
+		return fmt.Errorf("%s: %w", s.path, err)
+	}
+	return nil
+}
+
+// save stores what the member has ready, durably. After an error the member has to
+// end, since it is not known what was written. A commit index alone needs no write of
+// its own: it goes with the next.
+func (s *storage) save(ready coordination.Ready) error {
+	if ready.HardState != nil {
+		s.hardState = ready.HardState
+	}
+	if !ready.MustSync && len(ready.Entries) == 0 && ready.Snapshot == nil {
+		return nil
+	}
+	err := s.update(func(tx *bolt.Tx) error {
+		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+		if s.hardState != nil {
+			if err := putMessage(meta, keyHardState, s.hardState); err != nil {
+				return err
+			}
+		}
+		if err := replaceEntries(log, ready.Entries); err != nil {
+			return err
+		}
+		if ready.Snapshot == nil {
+			return nil
+		}
+		if err := putMessage(meta, keySnapshot, ready.Snapshot); err != nil {
+			return err
+		}
+		return deleteEntries(log, 0, ready.CompactTo)
+	})
+	if err == nil {
+		s.hardState = nil
+	}
+	return err
+}
+
+// replaceEntries stores entries instead of all of the first one's and of higher indexes.
+func replaceEntries(log *bolt.Bucket, entries []*raftpb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
+		return err
+	}
+	for _, entry := range entries {
+		if err := putMessage(log, encodeNumber(entry.GetIndex()), entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func putMessage(b *bolt.Bucket, key []byte, m proto.Message) error {
+	value, err := proto.Marshal(m)
+	if err != nil {
+		return err
+	}
+	return b.Put(key, value)
+}
+
+// deleteEntries removes the entries from one index to another, both included.
+func deleteEntries(log *bolt.Bucket, from, to uint64) error {
+	c := log.Cursor()
+	for k, _ := c.Seek(encodeNumber(from)); k != nil && decodeNumber(k) <= to; k, _ = c.Seek(encodeNumber(from)) {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/coordination/server/transport.go
@@ -0,0 +1,175 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/inject"
+)
+
+const (
+	messagesPath = "/raft"
+	// maxQueuedMessages bounds the queue to one member; further messages are dropped.
+	maxQueuedMessages = 256
+	// maxBatchBytes bounds the messages in one call: the largest snapshot fits.
+	maxBatchBytes = coordination.MaxSnapshotBytes + 2<<20
+	// messageTimeout bounds one call of another member.
+	messageTimeout = 2 * time.Second
+	// maxDiscardedBytes is how much of a response is read so that its connection can be
+	// used again.
+	maxDiscardedBytes = 1024
+)
+
+// errNoAddress is the error for a member whose address is not known yet.
+var errNoAddress = errors.New("no address")
+
+// peer sends messages to one other member, on a goroutine of its own.
+type peer struct {
+	number uint64
+	queue  chan *raftpb.Message
+}
+
+// send queues a message. A message to a full queue is dropped: raft sends again what
+// is still needed. On the goroutine of Run.
+func (s *Server) send(ctx context.Context, message *raftpb.Message) {
+	p := s.peers[message.GetTo()]
+	if p == nil {
+		p = &peer{number: message.GetTo(), queue: make(chan *raftpb.Message, maxQueuedMessages)}
+		s.peers[p.number] = p
+		s.tasks.Go(func() { s.runPeer(ctx, p) })
+	}
+	select {
+	case p.queue <- message:
+	default:
+		s.member.ReportUnreachable(p.number)
+	}
+}
+
+// runPeer sends the queued messages, as many as there are in one call, until ctx ends.
+func (s *Server) runPeer(ctx context.Context, p *peer) {
+	for {
+		body, hasSnapshot := p.nextBatch(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		var address string
+		if !s.execute(ctx, func() { address = s.address(p.number) }) {
+			return
+		}
+		err := s.postMessages(ctx, address, body)
+		if err != nil || hasSnapshot {
+			s.execute(ctx, func() {
+				if err != nil {
+					s.member.ReportUnreachable(p.number)
+				}
+				if hasSnapshot {
+					s.member.ReportSnapshot(p.number, err == nil)
+				}
+			})
+		}
+		if err != nil {
+			s.log.Debug("messages to member not sent", "member", p.number, "error", err)
+			sleep(ctx, s.config.Tick)
+		}
+	}
+}
+
+// nextBatch waits for a message and returns it, encoded, with those that are queued
+// behind it.
+func (p *peer) nextBatch(ctx context.Context) (body []byte, hasSnapshot bool) {
+	select {
+	case <-ctx.Done():
+		return nil, false
+	case message := <-p.queue:
+		body, hasSnapshot = appendMessage(body, message), message.GetType() == raftpb.MsgSnap
+	}
+	for len(body) < maxBatchBytes/2 {
+		select {
+		case message := <-p.queue:
+			body, hasSnapshot = appendMessage(body, message), hasSnapshot || message.GetType() == raftpb.MsgSnap
+		default:
+			return body, hasSnapshot
+		}
+	}
+	return body, hasSnapshot
+}
+
+// address returns where a member listens, or nothing where that is not known. On the
+// goroutine of Run.
+func (s *Server) address(number uint64) string {
+	if address := s.member.State().Members[number]; address != "" {
+		return address
+	}
+	return s.config.memberAddresses()[number]
+}
+
+// appendMessage appends a message to a batch: its length as a uvarint, then protobuf. A
+// message that can't be encoded is dropped.
+func appendMessage(batch []byte, message *raftpb.Message) []byte {
+	text, err := proto.Marshal(message)
+	if err != nil {
+		return batch
+	}
+	return append(binary.AppendUvarint(batch, uint64(len(text))), text...)
+}
+
+// decodeMessages reads a batch of messages to one member.
+func decodeMessages(batch []byte, to uint64) ([]*raftpb.Message, error) {
+	var messages []*raftpb.Message
+	for len(batch) > 0 {
+		size, n := binary.Uvarint(batch)
+		if n <= 0 || size > uint64(len(batch)-n) {
+			return nil, errors.New("batch: found a truncated message")
+		}
+		message := &raftpb.Message{}
+		if err := proto.Unmarshal(batch[n:n+int(size)], message); err != nil {
+			return nil, err
+		}
+		if message.GetTo() != to {
+			return nil, fmt.Errorf("batch: found a message to member %d, wanted %d", message.GetTo(), to)
+		}
+		messages = append(messages, message)
+		batch = batch[n+int(size):]
+	}
+	return messages, nil
+}
+
+// postMessages sends a batch to an address.
+func (s *Server) postMessages(ctx context.Context, address string, batch []byte) error {
+	if address == "" {
+		return errNoAddress
+	}
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+messagesPath, bytes.NewReader(batch))
+	if err != nil {
+		return err
+	}
+	req.Header.Set(client.ClusterHeader, s.cluster)
+	if err := inject.Way(ctx, address); err != nil {
+		return err
+	}
+	r, err := s.http.Do(req)
+	if err != nil {
+		return err
+	}
+	defer r.Body.Close()
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDiscardedBytes)); err != nil {
+		return err
+	}
+	if r.StatusCode != http.StatusNoContent {
+		return fmt.Errorf("%s: status %d", address, r.StatusCode)
+	}
+	return nil
+}
--- a/internal/fleet/coordination/sim_test.go
+++ b/internal/fleet/coordination/sim_test.go
@@ -3,6 +3,7 @@
 import (
 	crand "crypto/rand"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"math/rand/v2"
@@ -243,7 +244,9 @@
 			}
 			continue
 		}
-		m.m.Step(proto.Clone(l.msg).(*raftpb.Message))
+		if err := m.m.Step(proto.Clone(l.msg).(*raftpb.Message)); err != nil {
+			s.tell("member %d does not take %v: %v", m.id, l.msg.GetType(), err)
+		}
 	}
 	s.mail = append(rest, s.mail...)
 }
@@ -292,7 +295,7 @@
 				s.answered++
 				s.tell("%s renewed %v by member %d, asked at %v", o.name, held, m.id, int(asked))
 				o.tenure.Renew(asked, held, time.Duration(s.lease), 3)
-			} else if _, no := err.(NotLeaderError); !no {
+			} else if _, is := errors.AsType[NotLeaderError](err); !is {
 				o.held = 0
 				o.tenure.Reset()
 			}
