--- a/internal/fleet/coordination/apply.go
+++ b/internal/fleet/coordination/apply.go
@@ -18,72 +18,72 @@
 // Apply applies a committed command. It is a pure function of state and command: all
 // members come to the same state. A rejected command advances the logical clock and
 // may add a free lease; it changes nothing else.
-func (s *State) Apply(c Command) Result {
-	s.LogicalClock = max(s.LogicalClock, c.LogicalClock)
-	if c.Version > StateVersion {
+func (s *State) Apply(command Command) Result {
+	s.LogicalClock = max(s.LogicalClock, command.LogicalClock)
+	if command.Version > StateVersion {
 		// It was proposed when all members supported it. A member that was downgraded since
 		// must not apply it in part and diverge.
-		return reject("command: found version %d, wanted %d at most", c.Version, StateVersion)
+		return reject("command: found version %d, wanted %d at most", command.Version, StateVersion)
 	}
-	switch c.Kind {
+	switch command.Kind {
 	case AcquireLease, ExpireLease, ReleaseLease, WriteCheckpoint, AdvanceToken:
-		return s.applyLease(c)
+		return s.applyLease(command)
 	case RequestOperation:
-		return s.applyRequestOperation(c)
+		return s.applyRequestOperation(command)
 	case CompleteOperation:
-		return s.applyCompleteOperation(c)
+		return s.applyCompleteOperation(command)
 	case SetHostStatus:
-		return s.applyHostStatus(c)
+		return s.applyHostStatus(command)
 	case AdvertiseVersion:
-		s.SupportedVersions[c.Member] = int(c.Token)
+		s.SupportedVersions[command.Member] = int(command.Token)
 		return Result{}
 	case SetTokenSpace:
-		s.applyTokenSpace(uint32(c.Token))
+		s.applyTokenSpace(uint32(command.Token))
 		return Result{}
 	case ChangeConfiguration:
-		return s.applyConfigurationChange(c)
+		return s.applyConfigurationChange(command)
 	}
-	return reject("kind: found %q, wanted one that is known", c.Kind)
+	return reject("kind: found %q, wanted one that is known", command.Kind)
 }
 
 func validName(name string) bool { return name != "" && len(name) <= MaxNameBytes }
 
-func (s *State) applyLease(c Command) Result {
-	if !validName(c.Lease) {
-		return reject("lease: found name %q, wanted 1 to %d bytes", c.Lease, MaxNameBytes)
+func (s *State) applyLease(command Command) Result {
+	if !validName(command.Lease) {
+		return reject("lease: found name %q, wanted 1 to %d bytes", command.Lease, MaxNameBytes)
 	}
-	lease := s.Leases[c.Lease]
+	lease := s.Leases[command.Lease]
 	if lease == nil {
 		if len(s.Leases) >= MaxLeases {
-			return reject("lease %s: found %d leases, wanted %d at most", c.Lease, len(s.Leases), MaxLeases)
+			return reject("lease %s: found %d leases, wanted %d at most", command.Lease, len(s.Leases), MaxLeases)
 		}
-		lease = &Lease{Name: c.Lease}
-		s.Leases[c.Lease] = lease
+		lease = &Lease{Name: command.Lease}
+		s.Leases[command.Lease] = lease
 	}
-	switch c.Kind {
+	switch command.Kind {
 	case AcquireLease:
-		return s.acquire(lease, c)
+		return s.acquire(lease, command)
 	case AdvanceToken:
-		return s.advanceToken(lease, c.Token)
+		return s.advanceToken(lease, command.Token)
 	default:
-		return changeHeldLease(lease, c)
+		return applyHolderCommand(lease, command)
 	}
 }
 
 // acquire gives a free lease to the holder that asks for it, under a new token.
-func (s *State) acquire(lease *Lease, c Command) Result {
-	if !validName(c.Subject) {
-		return reject("holder: found name %q, wanted 1 to %d bytes", c.Subject, MaxNameBytes)
+func (s *State) acquire(lease *Lease, command Command) Result {
+	if !validName(command.Subject) {
+		return reject("holder: found name %q, wanted 1 to %d bytes", command.Subject, MaxNameBytes)
 	}
 	if lease.Holder != "" {
-		return rejectWith(lease, "lease %s: held by %s", lease.Name, lease.Holder)
+		return rejectWith(lease, "lease %s: its holder is %s", lease.Name, lease.Holder)
 	}
 	lease.HolderChanges = slices.DeleteFunc(lease.HolderChanges, func(at uint64) bool { return at+holderChangeLimit.window <= s.LogicalClock })
 	if len(lease.HolderChanges) >= holderChangeLimit.changes {
 		return rejectWith(lease, "lease %s: found %d changes of holder within %d ticks, wanted fewer", lease.Name, len(lease.HolderChanges), holderChangeLimit.window)
 	}
 	lease.HolderChanges = append(lease.HolderChanges, s.LogicalClock)
-	lease.Holder, lease.AcquiredAt = c.Subject, s.LogicalClock
+	lease.Holder, lease.AcquiredAt = command.Subject, s.LogicalClock
 	lease.Token = max(lease.Token+1, FencingToken(s.TokenSpace)<<32+1)
 	return Result{Lease: lease.Copy()}
 }
@@ -99,19 +99,19 @@
 	return Result{Lease: lease.Copy()}
 }
 
-// changeHeldLease applies what only the holder may do, or the leader for it: expiry,
+// applyHolderCommand applies what only the holder may do, or the leader for it: expiry,
 // release and checkpoint.
-func changeHeldLease(lease *Lease, c Command) Result {
-	if lease.Holder == "" || c.Token != lease.Token || c.Kind != ExpireLease && c.Subject != lease.Holder {
-		return rejectWith(lease, "%s of lease %s: found token %v of %q, wanted %v of %q", c.Kind, lease.Name, c.Token, c.Subject, lease.Token, lease.Holder)
+func applyHolderCommand(lease *Lease, command Command) Result {
+	if lease.Holder == "" || command.Token != lease.Token || command.Kind != ExpireLease && command.Subject != lease.Holder {
+		return rejectWith(lease, "%s of lease %s: found token %v of %q, wanted %v of %q", command.Kind, lease.Name, command.Token, command.Subject, lease.Token, lease.Holder)
 	}
-	if len(c.Data) > MaxCheckpointBytes {
-		return reject("checkpoint of lease %s: found %d bytes, wanted %d at most", lease.Name, len(c.Data), MaxCheckpointBytes)
+	if len(command.Data) > MaxCheckpointBytes {
+		return reject("checkpoint of lease %s: found %d bytes, wanted %d at most", lease.Name, len(command.Data), MaxCheckpointBytes)
 	}
-	if c.Data != nil {
-		lease.Checkpoint, lease.CheckpointToken = c.Data, c.Token
+	if command.Data != nil {
+		lease.Checkpoint, lease.CheckpointToken = command.Data, command.Token
 	}
-	if c.Kind != WriteCheckpoint {
+	if command.Kind != WriteCheckpoint {
 		lease.Holder = ""
 	}
 	return Result{Lease: lease.Copy()}
@@ -119,11 +119,11 @@
 
 // checkOperation returns why a command about an operation is out of bounds; empty if it
 // is not.
-func checkOperation(c Command) string {
-	if validName(c.OperationID) && validName(c.Lease) && len(c.Data) <= MaxCheckpointBytes {
+func checkOperation(command Command) string {
+	if validName(command.OperationID) && validName(command.Lease) && len(command.Data) <= MaxCheckpointBytes {
 		return ""
 	}
-	return reject("operation: found id %q, lease %q and %d bytes, wanted names and %d bytes at most", c.OperationID, c.Lease, len(c.Data), MaxCheckpointBytes).Rejection
+	return reject("operation: found id %q, lease %q and %d bytes, wanted names and %d bytes at most", command.OperationID, command.Lease, len(command.Data), MaxCheckpointBytes).Rejection
 }
 
 func (s *State) operation(id string) *Operation {
@@ -134,52 +134,52 @@
 	return s.Operations[at]
 }
 
-func (s *State) applyRequestOperation(c Command) Result {
-	if rejection := checkOperation(c); rejection != "" {
+func (s *State) applyRequestOperation(command Command) Result {
+	if rejection := checkOperation(command); rejection != "" {
 		return Result{Rejection: rejection}
 	}
-	if s.operation(c.OperationID) != nil {
+	if s.operation(command.OperationID) != nil {
 		return Result{} // a retry of a request that was applied
 	}
-	if pending := s.PendingOperation(c.Lease); pending != nil {
-		return reject("operation %s: found operation %s of lease %s pending, wanted its completion first", c.OperationID, pending.ID, c.Lease)
+	if pending := s.PendingOperation(command.Lease); pending != nil {
+		return reject("operation %s: found operation %s of lease %s pending, wanted its completion first", command.OperationID, pending.ID, command.Lease)
 	}
-	s.Operations = append(s.Operations, &Operation{ID: c.OperationID, Lease: c.Lease, Request: c.Data, RequestedAt: s.LogicalClock})
+	s.Operations = append(s.Operations, &Operation{ID: command.OperationID, Lease: command.Lease, Request: command.Data, RequestedAt: s.LogicalClock})
 	if excess := len(s.Operations) - MaxOperations; excess > 0 {
 		s.Operations = slices.Delete(s.Operations, 0, excess)
 	}
 	return Result{}
 }
 
-func (s *State) applyCompleteOperation(c Command) Result {
-	if rejection := checkOperation(c); rejection != "" {
+func (s *State) applyCompleteOperation(command Command) Result {
+	if rejection := checkOperation(command); rejection != "" {
 		return Result{Rejection: rejection}
 	}
-	operation, lease := s.operation(c.OperationID), s.Leases[c.Lease]
+	operation, lease := s.operation(command.OperationID), s.Leases[command.Lease]
 	switch {
 	case operation == nil:
-		return reject("operation %s: found none, wanted one that was requested", c.OperationID)
-	case lease == nil || lease.Holder != c.Subject || lease.Token != c.Token:
-		return reject("completion of operation %s: found token %v of %q, wanted the holder of lease %s", c.OperationID, c.Token, c.Subject, c.Lease)
+		return reject("operation %s: found none, wanted one that was requested", command.OperationID)
+	case lease == nil || lease.Holder != command.Subject || lease.Token != command.Token:
+		return reject("completion of operation %s: found token %v of %q, wanted the holder of lease %s", command.OperationID, command.Token, command.Subject, command.Lease)
 	case operation.Outcome != "":
 		return Result{} // a retry
 	}
-	if err := json.Unmarshal(c.Data, &operation.Outcome); err != nil || operation.Outcome == "" {
+	if err := json.Unmarshal(command.Data, &operation.Outcome); err != nil || operation.Outcome == "" {
 		operation.Outcome = "done" // an outcome that is not a string marks the completion all the same
 	}
 	return Result{}
 }
 
-func (s *State) applyHostStatus(c Command) Result {
+func (s *State) applyHostStatus(command Command) Result {
 	switch {
-	case !validName(c.Subject) || len(c.Data) > MaxHostStatusBytes:
-		return reject("host status: found host %q and %d bytes, wanted a name and %d bytes at most", c.Subject, len(c.Data), MaxHostStatusBytes)
-	case c.Data == nil:
-		delete(s.HostStatus, c.Subject)
-	case s.HostStatus[c.Subject] == nil && len(s.HostStatus) >= MaxHosts:
-		return reject("host status of %s: found %d hosts, wanted %d at most", c.Subject, len(s.HostStatus), MaxHosts)
+	case !validName(command.Subject) || len(command.Data) > MaxHostStatusBytes:
+		return reject("host status: found host %q and %d bytes, wanted a name and %d bytes at most", command.Subject, len(command.Data), MaxHostStatusBytes)
+	case command.Data == nil:
+		delete(s.HostStatus, command.Subject)
+	case s.HostStatus[command.Subject] == nil && len(s.HostStatus) >= MaxHosts:
+		return reject("host status of %s: found %d hosts, wanted %d at most", command.Subject, len(s.HostStatus), MaxHosts)
 	default:
-		s.HostStatus[c.Subject] = c.Data
+		s.HostStatus[command.Subject] = command.Data
 	}
 	return Result{}
 }
--- a/internal/fleet/coordination/capacity_test.go
+++ b/internal/fleet/coordination/capacity_test.go
@@ -8,7 +8,7 @@
 	"otterspring/internal/lab/cost"
 )
 
-// capacityState is a council's state with facts as supervisors tell them.
+// capacityState returns a state with the status of hosts as supervisors report it.
 func capacityState(b *testing.B, hosts int) *State {
 	b.Helper()
 	state := NewState("delft.1")
@@ -24,8 +24,8 @@
 
 var capacityHosts = []int{12, 50, 100, 200, 350, MaxHosts}
 
-// BenchmarkStateOfHosts is what a member pays to write its whole state, as it does
-// for a snapshot and for whoever asks for it: an owner of the roll ten times a second.
+// BenchmarkStateOfHosts is the cost of encoding the state, as for a snapshot and for a
+// client that reads it: the holder of the roll's lease does so ten times a second.
 func BenchmarkStateOfHosts(b *testing.B) {
 	for _, hosts := range capacityHosts {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
--- a/internal/fleet/coordination/client/listener.go
+++ b/internal/fleet/coordination/client/listener.go
@@ -5,30 +5,37 @@
 	"sync"
 )
 
-// LimitListener returns a listener with at most so many connections at a time: the next
-// waits in the system's queue until one has ended.
-func LimitListener(ln net.Listener, most int) net.Listener {
-	return &bounded{ln, make(chan bool, most)}
+// LimitListener returns a listener with at most a number of open connections: further
+// ones wait in the system's queue until one is closed.
+func LimitListener(listener net.Listener, maxConnections int) net.Listener {
+	return &limitedListener{Listener: listener, slots: make(chan struct{}, maxConnections)}
 }
 
-type bounded struct {
+// limitedListener has a slot for each connection, taken before Accept and freed once by
+// Close.
+type limitedListener struct {
 	net.Listener
-	slots chan bool
+	slots chan struct{}
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
-	b.slots <- true
-	c, err := b.Listener.Accept()
+// Accept waits for a slot and for a connection.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
+	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-b.slots
+		<-l.slots
 		return nil, err
 	}
-	return &slotted{Conn: c, free: sync.OnceFunc(func() { <-b.slots })}, nil
+	return &limitedConn{Conn: conn, freeSlot: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-type slotted struct {
+type limitedConn struct {
 	net.Conn
-	free func()
+	freeSlot func()
 }
 
-func (s *slotted) Close() error { s.free(); return s.Conn.Close() }
+// Close closes the connection and frees its slot.
+func (c *limitedConn) Close() error {
+	c.freeSlot()
+	return c.Conn.Close()
+}
--- a/internal/fleet/coordination/command.go
+++ b/internal/fleet/coordination/command.go
@@ -21,7 +21,7 @@
 	ReleaseLease CommandKind = "give"
 	// WriteCheckpoint is the holder's: Data is where the next holder continues.
 	WriteCheckpoint CommandKind = "note"
-	// AdvanceToken says that a receiver has seen Token: the next one is greater.
+	// AdvanceToken is for a receiver that has seen Token: the next one is greater.
 	AdvanceToken CommandKind = "raise"
 	// RequestOperation asks the holder of Lease for the operation OperationID.
 	RequestOperation CommandKind = "order"
@@ -29,7 +29,7 @@
 	CompleteOperation CommandKind = "end"
 	// SetHostStatus records Data for the host Subject; without Data the host is removed.
 	SetHostStatus CommandKind = "facts"
-	// AdvertiseVersion says that Member can apply commands up to the version in Token.
+	// AdvertiseVersion records the version, in Token, up to which Member can apply commands.
 	AdvertiseVersion CommandKind = "can"
 	// SetTokenSpace begins the token space in Token, on a restore by an operator.
 	SetTokenSpace CommandKind = "space"
@@ -65,8 +65,8 @@
 	Rejection string `json:"refused,omitempty"`
 	// Lease is a copy of the lease that the command is about.
 	Lease *Lease `json:"duty,omitempty"`
-	// Version is the one that a change of the configuration got. Conflict says that it
-	// was rejected because of the version that it was made for.
+	// Version is the one that a change of the configuration got. Conflict is set
+	// where it was rejected because of the version that it was made for.
 	Version  configuration.Version `json:"version,omitempty"`
 	Conflict bool                  `json:"conflict,omitempty"`
 }
--- a/internal/fleet/coordination/configuration.go
+++ b/internal/fleet/coordination/configuration.go
@@ -35,9 +35,9 @@
 
 // DryRunConfigurationChange returns what a command of kind ChangeConfiguration would
 // come to now. The state does not change.
-func (s *State) DryRunConfigurationChange(c Command) Result {
+func (s *State) DryRunConfigurationChange(command Command) Result {
 	trial := State{TokenSpace: s.TokenSpace, Configuration: s.ConfigurationStore().Copy()}
-	return trial.applyConfigurationChange(c)
+	return trial.applyConfigurationChange(command)
 }
 
 // mutableConfiguration returns the configuration to be changed. From then on only
@@ -50,12 +50,12 @@
 	return s.Configuration
 }
 
-func (s *State) applyConfigurationChange(c Command) Result {
-	if c.Version < configurationVersion {
-		return reject("configuration: found a command of version %d, wanted %d", c.Version, configurationVersion)
+func (s *State) applyConfigurationChange(command Command) Result {
+	if command.Version < configurationVersion {
+		return reject("configuration: found a command of version %d, wanted %d", command.Version, configurationVersion)
 	}
 	var change configuration.Change
-	if err := json.Unmarshal(c.Data, &change); err != nil {
+	if err := json.Unmarshal(command.Data, &change); err != nil {
 		return reject("configuration: %v", err)
 	}
 	version, err := s.mutableConfiguration().Apply(s.TokenSpace, change)
--- a/internal/fleet/coordination/configuration_test.go
+++ b/internal/fleet/coordination/configuration_test.go
@@ -14,7 +14,7 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// settingsOf returns settings of about a number of bytes.
+// settingsOf returns settings of about that many bytes.
 func settingsOf(bytes int) json.RawMessage {
 	var b strings.Builder
 	b.WriteString(`{"tenants":[`)
@@ -33,21 +33,21 @@
 	return configuration.Change{ID: id, Service: service, IfVersion: &none, Settings: settings}
 }
 
-// configured applies a change, which has to be one that a council may agree on.
-func configured(t testing.TB, s *State, change configuration.Change) Result {
-	t.Helper()
+// applyChange applies a valid change.
+func applyChange(tb testing.TB, s *State, change configuration.Change) Result {
+	tb.Helper()
 	command, err := NewConfigurationChange(change)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s.Apply(command)
 }
 
-// A change gets a version; one that is sent again gets the same; what is refused
-// changes nothing, and says whether it was for its version.
-func TestConfigure(t *testing.T) {
+// A change gets a version, and a retry gets the same; a rejected change changes nothing
+// and has Conflict set where its version was the reason.
+func TestChangeConfiguration(t *testing.T) {
 	s := NewState("x")
-	first := configured(t, s, create("a", "mail", json.RawMessage(`{}`)))
+	first := applyChange(t, s, create("a", "mail", json.RawMessage(`{}`)))
 	if first.Rejection != "" || first.Version != configuration.NewVersion(1, 1) {
 		t.Fatalf("first change: %+v, wanted version 1.1", first)
 	}
@@ -55,11 +55,11 @@
 		t.Errorf("state of version %d, wanted %d: an older program would lose the configuration", s.Version, configurationVersion)
 	}
 	change := configuration.Change{ID: "b", Service: "mail", IfVersion: &first.Version, Settings: json.RawMessage(`{"tenants":[]}`)}
-	second := configured(t, s, change)
+	second := applyChange(t, s, change)
 	if second.Rejection != "" || second.Version <= first.Version {
 		t.Fatalf("second change: %+v", second)
 	}
-	if again := configured(t, s, change); again.Version != second.Version || again.Rejection != "" {
+	if again := applyChange(t, s, change); again.Version != second.Version || again.Rejection != "" {
 		t.Errorf("the same change again: %+v, wanted version %v", again, second.Version)
 	}
 	before, _ := json.Marshal(s)
@@ -78,29 +78,29 @@
 			t.Fatal(err)
 		}
 		if tried := s.DryRunConfigurationChange(command); tried.Rejection == "" || tried.Conflict != test.conflict {
-			t.Errorf("%s tried: %+v, wanted a refusal with conflict %v", test.change.ID, tried, test.conflict)
+			t.Errorf("dry run of %s: %+v, wanted a rejection with conflict %v", test.change.ID, tried, test.conflict)
 		}
 		if r := s.Apply(command); r.Rejection == "" || r.Conflict != test.conflict || strings.Contains(r.Rejection, "\n") {
-			t.Errorf("%s: %+v, wanted a refusal with conflict %v", test.change.ID, r, test.conflict)
+			t.Errorf("%s: %+v, wanted a rejection with conflict %v", test.change.ID, r, test.conflict)
 		}
 	}
 	good, _ := NewConfigurationChange(configuration.Change{ID: "f", Service: "mail", Settings: json.RawMessage(`{}`)})
 	if tried := s.DryRunConfigurationChange(good); tried.Rejection != "" {
-		t.Errorf("tried: %+v", tried)
+		t.Errorf("dry run: %+v", tried)
 	}
 	good.Version = 1
 	if r := s.Apply(good); r.Rejection == "" {
-		t.Error("a command of version 1 was taken, which members of version 1 refuse")
+		t.Error("a command of version 1 was applied, which members of version 1 reject")
 	}
 	if after, _ := json.Marshal(s); string(after) != string(before) {
-		t.Errorf("what was refused or tried changed the state:\n%s\n%s", before, after)
+		t.Errorf("a rejected command or a dry run changed the state:\n%s\n%s", before, after)
 	}
 }
 
-// What no council may agree on is not proposed. Bounds hold for the encoded form.
-func TestNewConfigureRefuses(t *testing.T) {
+// An invalid change makes no command. Bounds are of the encoded form.
+func TestInvalidConfigurationChanges(t *testing.T) {
 	var wide strings.Builder
-	for i := range 100 { // 3.9 KB as it stands, and five times that encoded
+	for i := range 100 { // 3.9 KB, and five times that encoded
 		if i > 0 {
 			wide.WriteString(",")
 		}
@@ -109,7 +109,7 @@
 	for name, settings := range map[string]string{
 		"unknown key":          `{"tennants":[]}`,
 		"share below zero":     `{"tenants":[{"name":"a","quota-per-s":-1}]}`,
-		"wants a roll":         `{"limits":{}}`,
+		"needs a restart":      `{"limits":{}}`,
 		"over the bound":       string(settingsOf(configuration.MaxSettingsBytes + 200)),
 		"over it when encoded": `{"tenants":[` + wide.String() + `]}`,
 		"blanks over it":       `{"tenants":[]` + strings.Repeat(" ", configuration.MaxSettingsBytes) + `}`,
@@ -121,13 +121,13 @@
 		}
 	}
 	if _, err := NewConfigurationChange(create("", "mail", json.RawMessage(`{}`))); err == nil {
-		t.Error("a change without an id was taken")
+		t.Error("a change without an id was accepted")
 	}
 }
 
-// A council of one member of version 1 beside others of version 2: a change is held
-// back, and nothing is agreed on, until that one can apply it.
-func TestConfigureIsHeldBack(t *testing.T) {
+// A change is rejected, and nothing is committed, until the member of a cluster of one
+// supports it.
+func TestChangeNeedsSupport(t *testing.T) {
 	disk, err := BootstrapState("x", map[uint64]string{1: "a"})
 	if err != nil {
 		t.Fatal(err)
@@ -144,13 +144,13 @@
 	var earlyErr error
 	m.Propose(command, func(r Result, err error) { early, earlyErr = r, err })
 	if notLeader, is := errors.AsType[NotLeaderError](earlyErr); !is || notLeader != (NotLeaderError{}) {
-		t.Errorf("before it leads: %+v, %v, wanted that another is asked", early, earlyErr)
+		t.Errorf("before it is the leader: %+v, %v, wanted NotLeaderError without a leader", early, earlyErr)
 	}
-	until(t, m, m.IsLeader)
+	runUntil(t, m, m.IsLeader)
 	for _, version := range []FencingToken{1, 2} {
-		told := false
-		m.Propose(Command{Kind: AdvertiseVersion, Member: 1, Token: version}, func(Result, error) { told = true })
-		until(t, m, func() bool { return told })
+		advertised := false
+		m.Propose(Command{Kind: AdvertiseVersion, Member: 1, Token: version}, func(Result, error) { advertised = true })
+		runUntil(t, m, func() bool { return advertised })
 		_, _, before := m.Status()
 		var result *Result
 		m.Propose(command, func(r Result, err error) {
@@ -159,24 +159,24 @@
 			}
 			result = &r
 		})
-		until(t, m, func() bool { return result != nil })
+		runUntil(t, m, func() bool { return result != nil })
 		_, _, after := m.Status()
-		if held := strings.Contains(result.Rejection, "wanted one that all members support"); held != (version == 1) || held != (after == before) {
+		if unsupported := strings.Contains(result.Rejection, "wanted one that all members support"); unsupported != (version == 1) || unsupported != (after == before) {
 			t.Errorf("members of version %d: %+v, entries %d after %d", version, *result, after, before)
 		}
 	}
 	if m.State().ConfigurationStore().Resources["mail"] == nil {
-		t.Error("nothing was agreed on")
+		t.Error("nothing was committed")
 	}
 }
 
-// validUntil runs a member alone.
-func until(t testing.TB, m *Member, done func() bool) {
-	t.Helper()
+// runUntil ticks a member alone until done returns true.
+func runUntil(tb testing.TB, m *Member, done func() bool) {
+	tb.Helper()
 	for range 200 {
 		for _, ok := m.Ready(); ok; _, ok = m.Ready() {
 			if err := m.Advance(); err != nil {
-				t.Fatal(err)
+				tb.Fatal(err)
 			}
 		}
 		if done() {
@@ -184,11 +184,11 @@
 		}
 		m.Tick()
 	}
-	t.Fatal("nothing came of it within 200 ticks")
+	tb.Fatal("nothing came of it within 200 ticks")
 }
 
-// A snapshot of version 1 is read and has no configuration; one with a
-// configuration comes back whole, and is of version 2.
+// A snapshot of version 1 is decoded and has no configuration; one with a configuration
+// is decoded to the same state, and is of version 2.
 func TestConfigurationInSnapshots(t *testing.T) {
 	old := []byte(`{"version":1,"council":"x","count":7,"space":1,"duties":{},"orders":null,"facts":{},"able":{},"members":{"1":"a"}}`)
 	s, err := DecodeSnapshot(addChecksum(old))
@@ -198,7 +198,7 @@
 	if s.Configuration != nil || s.ConfigurationStore().Version != 0 || s.LogicalClock != 7 {
 		t.Errorf("from version 1: %+v", s)
 	}
-	configured(t, s, create("a", "mail", json.RawMessage(`{"classes":[{"name":"<fast>","worth":2}]}`)))
+	applyChange(t, s, create("a", "mail", json.RawMessage(`{"classes":[{"name":"<fast>","worth":2}]}`)))
 	data, err := EncodeSnapshot(s)
 	if err != nil {
 		t.Fatal(err)
@@ -219,21 +219,21 @@
 	}
 }
 
-// A council that was restored from an older snapshot: every version that it gives
-// out is newer than all of before, also where the snapshot holds no configuration.
+// In a cluster that was restored from an older snapshot every version is newer than all
+// of before, also where the snapshot has no configuration.
 func TestConfigurationAfterRestore(t *testing.T) {
 	for _, services := range []int{0, 3} {
 		s := NewState("x")
 		for i := range services {
-			configured(t, s, create(fmt.Sprint("id", i), fmt.Sprint("service", i), json.RawMessage(`{}`)))
+			applyChange(t, s, create(fmt.Sprint("id", i), fmt.Sprint("service", i), json.RawMessage(`{}`)))
 		}
 		data, err := EncodeSnapshot(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var lost configuration.Version // given out after the snapshot
+		var lost configuration.Version // issued after the snapshot
 		for i := range 5 {
-			lost = configured(t, s, create(fmt.Sprint("late", i), fmt.Sprint("late", i), json.RawMessage(`{}`))).Version
+			lost = applyChange(t, s, create(fmt.Sprint("late", i), fmt.Sprint("late", i), json.RawMessage(`{}`))).Version
 		}
 		disk, err := RestoredState(&raftpb.Snapshot{Data: data}, 1, "a", 2)
 		if err != nil {
@@ -258,61 +258,61 @@
 	}
 }
 
-// A receiver that has heard of a newer epoch space raises the versions with it. One
-// that raises an epoch within the space does not, and a state that has no
-// configuration gets none: members of version 1 come to the same.
-func TestRaiseBeginsASpace(t *testing.T) {
+// A receiver that has seen a greater token space advances the versions with it. One that
+// advances a token within the space does not, and a state without a configuration gets
+// none: members of version 1 come to the same state.
+func TestAdvanceTokenSpace(t *testing.T) {
 	s := NewState("x")
-	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 2<<32 + 1})
+	s.Apply(Command{Kind: AdvanceToken, Lease: testLease, Token: 2<<32 + 1})
 	if s.Configuration != nil || s.Version != 1 || s.TokenSpace != 2 {
 		t.Errorf("without a configuration: %+v", s)
 	}
-	first := configured(t, s, create("a", "mail", json.RawMessage(`{}`))).Version
-	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 2<<32 + 9})
+	first := applyChange(t, s, create("a", "mail", json.RawMessage(`{}`))).Version
+	s.Apply(Command{Kind: AdvanceToken, Lease: testLease, Token: 2<<32 + 9})
 	if got := s.ConfigurationStore().Version; got != first || first.Space() != 2 {
-		t.Errorf("after a raise within the space: version %v, wanted %v", got, first)
+		t.Errorf("after a token within the space: version %v, wanted %v", got, first)
 	}
-	s.Apply(Command{Kind: AdvanceToken, Lease: duty, Token: 7<<32 + 9})
+	s.Apply(Command{Kind: AdvanceToken, Lease: testLease, Token: 7<<32 + 9})
 	if got := s.ConfigurationStore().Resources["mail"].Version; got.Space() != 7 {
-		t.Errorf("after a raise of the space: version %v, wanted one of space 7", got)
+		t.Errorf("after a token of a greater space: version %v, wanted one of space 7", got)
 	}
 }
 
-// A state in which every bound is reached at once, with names that take most bytes
-// when encoded, fits into a snapshot: a member that can't seal its state ends.
+// A state in which every bound is reached at once, with names that take most bytes when
+// encoded, fits into a snapshot: a member that can't encode its state fails.
 func TestLargestSnapshot(t *testing.T) {
 	s := NewState("x")
 	wide := func(i int) string { return fmt.Sprintf("%04d%s", i, strings.Repeat("<", MaxNameBytes-4)) }
 	blob := func(size int) json.RawMessage {
 		return json.RawMessage(`"` + strings.Repeat("x", size-2) + `"`)
 	}
-	taken := func(r Result) {
+	mustApply := func(r Result) {
 		t.Helper()
 		if r.Rejection != "" {
 			t.Fatal(r.Rejection)
 		}
 	}
 	for i := range MaxHosts {
-		taken(s.Apply(Command{Kind: SetHostStatus, Subject: wide(i), Data: blob(MaxHostStatusBytes)}))
+		mustApply(s.Apply(Command{Kind: SetHostStatus, Subject: wide(i), Data: blob(MaxHostStatusBytes)}))
 	}
 	for i := range MaxLeases {
 		r := s.Apply(Command{Kind: AcquireLease, Subject: wide(i), Lease: wide(i)})
-		taken(r)
-		taken(s.Apply(Command{Kind: WriteCheckpoint, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
+		mustApply(r)
+		mustApply(s.Apply(Command{Kind: WriteCheckpoint, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
 		for k := range MaxOperations / MaxLeases {
 			id := wide(i*100 + k)
-			taken(s.Apply(Command{Kind: RequestOperation, OperationID: id, Lease: wide(i), Data: blob(MaxCheckpointBytes)}))
-			taken(s.Apply(Command{Kind: CompleteOperation, OperationID: id, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
+			mustApply(s.Apply(Command{Kind: RequestOperation, OperationID: id, Lease: wide(i), Data: blob(MaxCheckpointBytes)}))
+			mustApply(s.Apply(Command{Kind: CompleteOperation, OperationID: id, Subject: wide(i), Lease: wide(i), Token: r.Lease.Token, Data: blob(MaxCheckpointBytes)}))
 		}
 	}
 	for i := range configuration.MaxServices {
-		taken(configured(t, s, create(wide(i), wide(i), json.RawMessage(`{}`))))
+		mustApply(applyChange(t, s, create(wide(i), wide(i), json.RawMessage(`{}`))))
 	}
 	const remembered = 4096
 	settings := settingsOf(configuration.MaxTotalBytes / configuration.MaxServices)
 	for i := range remembered {
 		change := configuration.Change{ID: wide(1000 + i), Service: wide(i % configuration.MaxServices), Settings: json.RawMessage(`{}`)}
-		if i >= remembered-configuration.MaxServices { // large ones take their time
+		if i >= remembered-configuration.MaxServices { // only the last ones are large, to save time
 			change.Settings = settings
 		}
 		if _, err := s.Configuration.Apply(s.TokenSpace, change); err != nil {
@@ -336,14 +336,14 @@
 	t.Logf("snapshot: %d bytes of %d", len(data), MaxSnapshotBytes)
 }
 
-// BenchmarkConfigure is the processor time of one agreed change of one of 360
-// services, BenchmarkTryConfigure that of the leader's look before it proposes it,
-// BenchmarkSeal that of a snapshot.
-func BenchmarkConfigure(b *testing.B) {
+// BenchmarkChangeConfiguration is the processor time to apply one change of one of 360
+// services, BenchmarkDryRun that of the leader's check before it proposes it,
+// BenchmarkEncodeSnapshot that of a snapshot.
+func BenchmarkChangeConfiguration(b *testing.B) {
 	for _, size := range sizes {
-		s := stateOf(b, 360, size)
+		s := stateOf(b, size)
 		b.Run(fmt.Sprint("bytes=", size), func(b *testing.B) {
-			commands := make([]Command, 360)
+			commands := make([]Command, benchmarkServices)
 			for i := range commands {
 				commands[i], _ = NewConfigurationChange(configuration.Change{ID: "x", Service: service(i), Settings: settingsOf(size)})
 			}
@@ -359,8 +359,8 @@
 	}
 }
 
-func BenchmarkTryConfigure(b *testing.B) {
-	s := stateOf(b, 360, 2<<10)
+func BenchmarkDryRun(b *testing.B) {
+	s := stateOf(b, 2<<10)
 	command, _ := NewConfigurationChange(configuration.Change{ID: "new", Service: service(7), Settings: settingsOf(2 << 10)})
 	defer reportCPU(b)()
 	for b.Loop() {
@@ -370,9 +370,9 @@
 	}
 }
 
-func BenchmarkSeal(b *testing.B) {
+func BenchmarkEncodeSnapshot(b *testing.B) {
 	for _, size := range sizes {
-		s := stateOf(b, 360, size)
+		s := stateOf(b, size)
 		b.Run(fmt.Sprint("bytes=", size), func(b *testing.B) {
 			sealed := 0
 			defer reportCPU(b)()
@@ -388,34 +388,38 @@
 	}
 }
 
-// BenchmarkSince is the time of an answer to one that lacks one change, and to one
+// BenchmarkSince is the time of a response to a client that lacks one change, and to one
 // that lacks all.
 func BenchmarkSince(b *testing.B) {
-	s := stateOf(b, 360, 2<<10)
+	s := stateOf(b, 2<<10)
 	for name, from := range map[string]configuration.Version{"one": s.ConfigurationStore().Version - 1, "all": 0} {
 		b.Run(name, func(b *testing.B) {
 			defer reportCPU(b)()
 			for b.Loop() {
 				if update := s.ConfigurationStore().Since(from); len(update.Resources) == 0 {
-					b.Fatal("found no news")
+					b.Fatal("found no update")
 				}
 			}
 		})
 	}
 }
 
-// reportCPU adds the processor time of an operation, which other processes on the
-// machine lengthen less than the wall time.
+// reportCPU adds the processor time of an operation, which depends less on other
+// processes on the machine than the wall time.
 func reportCPU(b *testing.B) func() {
+	b.Helper()
 	b.ResetTimer()
-	start := processorTime()
-	return func() { b.ReportMetric(float64(processorTime()-start)/float64(b.N), "cpu-ns/op") }
+	start := processorTime(b)
+	return func() { b.ReportMetric(float64(processorTime(b)-start)/float64(b.N), "cpu-ns/op") }
 }
 
-// processorTime is what the process has used so far.
-func processorTime() time.Duration {
+// processorTime returns the time that the process has used.
+func processorTime(b *testing.B) time.Duration {
+	b.Helper()
 	var usage syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
+	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
@@ -423,16 +427,20 @@
 
 func service(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// stateOf is a state with services that have settings of a size, and as many
-// remembered changes as there may be.
-func stateOf(b *testing.B, services, size int) *State {
+// benchmarkServices is the number of services of a region.
+const benchmarkServices = 360
+
+// stateOf returns a state with services that have settings of a size, and the largest
+// number of remembered changes.
+func stateOf(b *testing.B, size int) *State {
+	b.Helper()
 	s := NewState("x")
 	settings := settingsOf(size)
-	for i := range services {
-		configured(b, s, create(service(i), service(i), settings))
+	for i := range benchmarkServices {
+		applyChange(b, s, create(service(i), service(i), settings))
 	}
 	for i := range 4096 {
-		configured(b, s, configuration.Change{ID: fmt.Sprintf("change-%016x", i), Service: service(i % services), Settings: settings})
+		applyChange(b, s, configuration.Change{ID: fmt.Sprintf("change-%016x", i), Service: service(i % benchmarkServices), Settings: settings})
 	}
 	return s
 }
--- a/internal/fleet/coordination/fence.go
+++ b/internal/fleet/coordination/fence.go
@@ -62,28 +62,28 @@
 
 // Observe records a holder that the cluster has confirmed, or that a predecessor of
 // this receiver had recorded. An older token than the recorded one changes nothing.
-func (f *Fence) Observe(lease string, h Holder) {
-	if newest, known := f.newest[lease]; !known || h.Token > newest.Token {
-		f.newest[lease] = h
+func (f *Fence) Observe(lease string, holder Holder) {
+	if newest, known := f.newest[lease]; !known || holder.Token > newest.Token {
+		f.newest[lease] = holder
 	}
 }
 
 // Check returns nil if an effect of a holder may be applied, and records a newer token.
 // Its error is one of FenceUninitializedError, StaleTokenError and DuplicateTokenError.
-func (f *Fence) Check(lease string, h Holder) error {
+func (f *Fence) Check(lease string, holder Holder) error {
 	newest, known := f.newest[lease]
 	switch {
 	case !known:
 		f.Rejected++
-		return &FenceUninitializedError{Lease: lease, Got: h}
-	case h.Token < newest.Token:
+		return &FenceUninitializedError{Lease: lease, Got: holder}
+	case holder.Token < newest.Token:
 		f.Rejected++
-		return &StaleTokenError{Lease: lease, Got: h, Newest: newest.Token}
-	case h.Token == newest.Token && newest.Name != "" && h.Name != newest.Name:
+		return &StaleTokenError{Lease: lease, Got: holder, Newest: newest.Token}
+	case holder.Token == newest.Token && newest.Name != "" && holder.Name != newest.Name:
 		f.Rejected++
-		return &DuplicateTokenError{Lease: lease, Got: h, Want: newest.Name}
+		return &DuplicateTokenError{Lease: lease, Got: holder, Want: newest.Name}
 	}
-	f.newest[lease] = h
+	f.newest[lease] = holder
 	return nil
 }
 
--- a/internal/fleet/coordination/lease_timers.go
+++ b/internal/fleet/coordination/lease_timers.go
@@ -21,8 +21,8 @@
 func newLeaseTimers() *leaseTimers { return &leaseTimers{timers: map[string]leaseTimer{}} }
 
 // renew extends a lease by a duration in ticks. It returns false if its expiry is
-// proposed: that may be committed at any moment, and the holder must not be told that
-// it has another lease.
+// proposed: that may be committed at any moment, and the holder must not get another
+// confirmation.
 func (l *leaseTimers) renew(lease string, token FencingToken, now, duration uint64) bool {
 	if timer := l.timers[lease]; timer.revoked && timer.token == token {
 		return false
--- a/internal/fleet/coordination/member.go
+++ b/internal/fleet/coordination/member.go
@@ -41,7 +41,7 @@
 	ErrNoSuccessor = errors.New("found no other active voter, wanted one to lead")
 )
 
-// NotLeaderError says that another member has to be asked.
+// NotLeaderError redirects a request to another member.
 type NotLeaderError struct {
 	Leader uint64 // 0 where this member knows of none
 }
@@ -224,7 +224,7 @@
 	return ErrNoSuccessor
 }
 
-// ReportUnreachable says that a message to a member was lost.
+// ReportUnreachable reports a message to a member as lost.
 func (m *Member) ReportUnreachable(id uint64) { m.node.ReportUnreachable(id) }
 
 // ReportSnapshot says whether a message with a snapshot was sent to a member.
--- a/internal/fleet/coordination/proposal.go
+++ b/internal/fleet/coordination/proposal.go
@@ -37,7 +37,7 @@
 // Propose proposes a command. done, which may be nil, is called with its result, or
 // with NotLeaderError, ErrBusy or ErrUnknownOutcome; it may be called before Propose
 // returns.
-func (m *Member) Propose(c Command, done func(Result, error)) {
+func (m *Member) Propose(command Command, done func(Result, error)) {
 	if done == nil {
 		done = func(Result, error) {}
 	}
@@ -46,10 +46,10 @@
 		done(Result{}, NotLeaderError{m.Leader()})
 		return
 	}
-	c.Version = max(1, c.Version)
-	if !m.state.AllSupport(c.Version, slices.Concat(m.Voters(), m.Learners())) {
+	command.Version = max(1, command.Version)
+	if !m.state.AllSupport(command.Version, slices.Concat(m.Voters(), m.Learners())) {
 		// A member that can't apply the command would diverge.
-		done(reject("version: found a command of version %d, wanted one that all members support", c.Version), nil)
+		done(reject("version: found a command of version %d, wanted one that all members support", command.Version), nil)
 		return
 	}
 	id, err := m.addProposal(done)
@@ -57,8 +57,8 @@
 		m.proposalFailed(id, done, err)
 		return
 	}
-	c.LogicalClock, c.ProposalID, c.Term = m.logicalClock(), id, m.term()
-	entry, err := json.Marshal(c)
+	command.LogicalClock, command.ProposalID, command.Term = m.logicalClock(), id, m.term()
+	entry, err := json.Marshal(command)
 	if err == nil {
 		err = m.node.Propose(entry)
 	}
@@ -93,9 +93,9 @@
 
 // completeProposal passes the result of an applied command to its proposer, if this
 // member is the one.
-func (m *Member) completeProposal(c Command, r Result) {
-	if p := m.proposals[c.ProposalID]; p != nil && p.term == c.Term {
-		delete(m.proposals, c.ProposalID)
+func (m *Member) completeProposal(command Command, r Result) {
+	if p := m.proposals[command.ProposalID]; p != nil && p.term == command.Term {
+		delete(m.proposals, command.ProposalID)
 		p.complete(r, nil)
 	}
 }
--- a/internal/fleet/coordination/server/configuration.go
+++ b/internal/fleet/coordination/server/configuration.go
@@ -15,7 +15,7 @@
 	hasLeader bool
 }
 
-// observe records what the member knows now, and wakes the polls if that is news.
+// observe records what the member knows now, and wakes the polls if it has changed.
 func (w *configurationWatch) observe(version configuration.Version, hasLeader bool) {
 	leaderLost := w.hasLeader && !hasLeader
 	w.hasLeader = hasLeader
@@ -30,27 +30,27 @@
 // changeConfiguration proposes a change. One that the current configuration rejects is
 // not proposed: the rejection is returned when a majority has confirmed that this
 // member is the leader.
-func (s *Server) changeConfiguration(c *call) {
+func (s *Server) changeConfiguration(pending *pendingCall) {
 	if !s.member.IsLeader() {
-		s.replyError(c, coordination.NotLeaderError{Leader: s.member.Leader()})
+		s.replyError(pending, coordination.NotLeaderError{Leader: s.member.Leader()})
 		return
 	}
-	change := c.request.Change
+	change := pending.request.Change
 	if change == nil {
-		c.reject("change: found none, wanted one")
+		pending.reject("change: found none, wanted one")
 		return
 	}
 	command, err := coordination.NewConfigurationChange(*change)
 	if err != nil {
-		c.reject(err.Error())
+		pending.reject(err.Error())
 		return
 	}
 	complete := func(result coordination.Result, err error) {
-		c.response.Rejection, c.response.Conflict = result.Rejection, result.Conflict
+		pending.response.Rejection, pending.response.Conflict = result.Rejection, result.Conflict
 		if err == nil && result.Rejection == "" {
-			c.response.Resource = &configuration.Resource{Service: change.Service, Version: result.Version, Settings: change.Settings}
+			pending.response.Resource = &configuration.Resource{Service: change.Service, Version: result.Version, Settings: change.Settings}
 		}
-		s.replyError(c, err)
+		s.replyError(pending, err)
 	}
 	if s.member.State().DryRunConfigurationChange(command).Rejection == "" {
 		s.member.Propose(command, complete)
@@ -72,33 +72,33 @@
 // watchConfiguration returns the configuration that is newer than the client's. The
 // leader is asked for the index that this member has to have applied, so that the
 // update lacks nothing that was committed before the request.
-func (s *Server) watchConfiguration(c *call) {
+func (s *Server) watchConfiguration(pending *pendingCall) {
 	s.member.FollowerRead(func(err error) {
 		if err == nil {
-			update := s.member.State().ConfigurationStore().Since(c.request.Version)
-			c.response.Update = &update
+			update := s.member.State().ConfigurationStore().Since(pending.request.Version)
+			pending.response.Update = &update
 		}
-		s.replyError(c, err)
+		s.replyError(pending, err)
 	})
 }
 
 // readConfiguration returns the settings of a service, or the versions of all.
-func (s *Server) readConfiguration(c *call) {
-	s.read(c, func(state *coordination.State) {
-		store, service := state.ConfigurationStore(), c.request.Service
+func (s *Server) readConfiguration(pending *pendingCall) {
+	s.read(pending, func(state *coordination.State) {
+		store, service := state.ConfigurationStore(), pending.request.Service
 		if service == "" {
-			c.response.Services = make(map[string]configuration.Version, len(store.Resources))
+			pending.response.Services = make(map[string]configuration.Version, len(store.Resources))
 			for name, resource := range store.Resources {
-				c.response.Services[name] = resource.Version
+				pending.response.Services[name] = resource.Version
 			}
 			return
 		}
 		resource := store.Resources[service]
 		if resource == nil {
-			c.response.Rejection = fmt.Sprintf("service %s: found no such service", service)
+			pending.response.Rejection = fmt.Sprintf("service %s: found no such service", service)
 			return
 		}
 		copied := *resource
-		c.response.Resource = &copied
+		pending.response.Resource = &copied
 	})
 }
--- a/internal/fleet/coordination/server/configuration_test.go
+++ b/internal/fleet/coordination/server/configuration_test.go
@@ -18,27 +18,27 @@
 	"otterspring/internal/fleet/coordination/client"
 )
 
-// configurable starts a council of three and awaits that all can apply changes.
-func configurable(t testing.TB) *world {
-	t.Helper()
-	w := build(t, t.TempDir(), 3)
+// newUpgradedCluster starts a cluster of three that supports configuration changes.
+func newUpgradedCluster(tb testing.TB) *testCluster {
+	tb.Helper()
+	w := newTestCluster(tb, tb.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
 		w.start(i, Bootstrap)
 	}
-	w.able()
+	w.awaitSupport()
 	return w
 }
 
-// able awaits that all three members can apply changes of the configuration.
-func (w *world) able() {
+// awaitSupport waits until all three members support configuration changes.
+func (w *testCluster) awaitSupport() {
 	w.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		s := w.asks(client.Request{Kind: client.ReadState}).State
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		s := w.do(client.Request{Kind: client.ReadState}).State
 		if s.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
 			return
 		}
-		if time.Now().After(end) {
-			w.t.Fatalf("members can apply %v, wanted version %d", s.SupportedVersions, coordination.StateVersion)
+		if time.Now().After(deadline) {
+			w.t.Fatalf("members support %v, wanted version %d", s.SupportedVersions, coordination.StateVersion)
 		}
 	}
 }
@@ -47,82 +47,82 @@
 	return &configuration.Change{ID: id, Service: service, IfVersion: &ifVersion, Settings: json.RawMessage(settings)}
 }
 
-// configures has a change agreed on.
-func (w *world) configures(change *configuration.Change) *client.Response {
+// configure sends a change.
+func (w *testCluster) configure(change *configuration.Change) *client.Response {
 	w.t.Helper()
-	return w.asks(client.Request{Kind: client.ChangeConfiguration, Change: change})
+	return w.do(client.Request{Kind: client.ChangeConfiguration, Change: change})
 }
 
-// A change is agreed on and read back, every member hands it on, and a poll that
-// waits is woken by the next. The state that supervisors ask for does not carry it.
-func TestConfigureAndFollow(t *testing.T) {
+// A change is committed and read back, every member returns it to a watch, and a long
+// poll returns at the next. The state for supervisors does not contain it.
+func TestChangeAndWatch(t *testing.T) {
 	t.Parallel()
-	w := configurable(t)
-	first := w.configures(changeOf("a", "mail", 0, `{"tenants":[{"name":"x","quota-per-s":5}]}`))
+	w := newUpgradedCluster(t)
+	first := w.configure(changeOf("a", "mail", 0, `{"tenants":[{"name":"x","quota-per-s":5}]}`))
 	if first.Rejection != "" || first.Resource == nil || first.Resource.Version != configuration.NewVersion(1, 1) {
 		t.Fatalf("first change: %+v", first)
 	}
-	read := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "mail"})
+	read := w.do(client.Request{Kind: client.ReadConfiguration, Service: "mail"})
 	if read.Resource == nil || read.Resource.Version != first.Resource.Version || !strings.Contains(string(read.Resource.Settings), `"quota-per-s":5`) {
 		t.Errorf("read back: %+v", read)
 	}
-	if a := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "post"}); a.Rejection == "" {
+	if a := w.do(client.Request{Kind: client.ReadConfiguration, Service: "post"}); a.Rejection == "" {
 		t.Errorf("an unknown service: %+v, wanted a refusal", a)
 	}
-	if a := w.asks(client.Request{Kind: client.ReadConfiguration}); len(a.Services) != 1 || a.Services["mail"] != first.Resource.Version {
+	if a := w.do(client.Request{Kind: client.ReadConfiguration}); len(a.Services) != 1 || a.Services["mail"] != first.Resource.Version {
 		t.Errorf("all services: %+v", a.Services)
 	}
-	if s := w.asks(client.Request{Kind: client.ReadState}).State; s.Configuration != nil {
-		t.Error("the state of a supervisor's question carries the configuration")
+	if s := w.do(client.Request{Kind: client.ReadState}).State; s.Configuration != nil {
+		t.Error("the state for a supervisor contains the configuration")
 	}
-	if snapshot, err := FetchSnapshot(t.Context(), w.file); err != nil || !strings.Contains(string(snapshot), "quota-per-s") {
-		t.Errorf("a snapshot to be kept lacks the configuration (%v)", err)
+	if snapshot, err := FetchSnapshot(t.Context(), w.config); err != nil || !strings.Contains(string(snapshot), "quota-per-s") {
+		t.Errorf("a snapshot lacks the configuration (%v)", err)
 	}
 
 	held := first.Resource.Version
 	var polls sync.WaitGroup
 	for i := 1; i <= 3; i++ {
-		if u := w.polls(i, 0, 0, updates).Update; !u.Snapshot() || len(u.Resources) != 1 {
+		if u := w.poll(i, 0, 0, hasUpdate).Update; !u.Snapshot() || len(u.Resources) != 1 {
 			t.Errorf("member %d: %+v, wanted a snapshot of one service", i, u)
 		}
-		if u := w.polls(i, held, 1, updates).Update; len(u.Resources) != 0 || u.Version != held {
-			t.Errorf("member %d: %+v, wanted an update without news", i, u)
+		if u := w.poll(i, held, 1, hasUpdate).Update; len(u.Resources) != 0 || u.Version != held {
+			t.Errorf("member %d: %+v, wanted an empty update", i, u)
 		}
 		polls.Go(func() {
-			news := func(a *client.Response) bool { return a.Update != nil && a.Update.Version > held }
-			if u := w.polls(i, held, 2000, news).Update; u.Snapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
-				t.Errorf("member %d: %+v, wanted what is new alone", i, u)
+			newer := func(a *client.Response) bool { return a.Update != nil && a.Update.Version > held }
+			if u := w.poll(i, held, 2000, newer).Update; u.Snapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
+				t.Errorf("member %d: %+v, wanted only what is new", i, u)
 			}
 		})
 	}
-	w.configures(changeOf("b", "post", 0, `{}`))
+	w.configure(changeOf("b", "post", 0, `{}`))
 	polls.Wait()
 }
 
-// polls asks a member for the configuration until it has an answer that is wanted.
-func (w *world) polls(i int, version configuration.Version, waitMS int, wanted func(*client.Response) bool) *client.Response {
+// poll sends a watch to a member until it returns a response that is wanted.
+func (w *testCluster) poll(i int, version configuration.Version, waitMS int, wanted func(*client.Response) bool) *client.Response {
 	var a *client.Response
 	var err error
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if a, err = w.one(i, client.Request{Kind: client.WatchConfiguration, Version: version, WaitMS: waitMS}); err == nil && wanted(a) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if a, err = w.call(i, client.Request{Kind: client.WatchConfiguration, Version: version, WaitMS: waitMS}); err == nil && wanted(a) {
 			return a
 		}
 	}
-	w.t.Errorf("member %d from version %v on: %+v, %v, wanted another answer", i, version, a, err)
+	w.t.Errorf("member %d from version %v on: %+v, %v, wanted another response", i, version, a, err)
 	return &client.Response{Update: &configuration.Update{}}
 }
 
-// updates is the answer of a member that knows a leader.
-func updates(a *client.Response) bool { return a.Update != nil }
+// hasUpdate reports whether the member knows a leader.
+func hasUpdate(a *client.Response) bool { return a.Update != nil }
 
-// withinTerm measures between two looks at the leader, anew where another leader has
-// come between them.
-func (w *world) withinTerm(do func()) (before, after *client.Response) {
+// withinTerm calls do between two reads of the same leader, and repeats it if the
+// leader has changed.
+func (w *testCluster) withinTerm(do func()) (before, after *client.Response) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
-		before = w.asks(client.Request{Kind: client.ReadState})
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
+		before = w.do(client.Request{Kind: client.ReadState})
 		do()
-		after = w.asks(client.Request{Kind: client.ReadState})
+		after = w.do(client.Request{Kind: client.ReadState})
 		if before.Term == after.Term {
 			return before, after
 		}
@@ -131,12 +131,12 @@
 	return nil, nil
 }
 
-// What can't be agreed on is refused in one line, and no entry comes of it.
-func TestConfigureRefusals(t *testing.T) {
+// An invalid change is rejected in one line, without a log entry.
+func TestRejectedChanges(t *testing.T) {
 	t.Parallel()
-	w := configurable(t)
-	first := w.configures(changeOf("a", "mail", 0, `{}`)).Resource.Version
-	w.configures(changeOf("b", "mail", first, `{}`))
+	w := newUpgradedCluster(t)
+	first := w.configure(changeOf("a", "mail", 0, `{}`)).Resource.Version
+	w.configure(changeOf("b", "mail", first, `{}`))
 	tests := map[string]struct {
 		change   *configuration.Change
 		want     string
@@ -154,29 +154,29 @@
 	}
 	before, after := w.withinTerm(func() {
 		for name, test := range tests {
-			a := w.configures(test.change)
+			a := w.configure(test.change)
 			if !strings.Contains(a.Rejection, test.want) || strings.Contains(a.Rejection, "\n") || a.Conflict != test.conflict || a.Resource != nil {
 				t.Errorf("%s: %+v, wanted %q in one line and conflict %v", name, a, test.want, test.conflict)
 			}
 		}
 	})
 	if after.Index != before.Index {
-		t.Errorf("%d entries after %d: something was agreed on", after.Index, before.Index)
+		t.Errorf("%d entries after %d: something was committed", after.Index, before.Index)
 	}
 }
 
-// Two change the same version at the same time: one wins, the other hears of the
-// conflict and changes nothing. And a change that is sent again is applied once.
+// Of two concurrent changes of one version one is applied, and the other one is a
+// conflict. A change that is retried is applied once.
 func TestTwoChangesOfOneVersion(t *testing.T) {
 	t.Parallel()
-	w := configurable(t)
-	version := w.configures(changeOf("first", "mail", 0, `{}`)).Resource.Version
+	w := newUpgradedCluster(t)
+	version := w.configure(changeOf("first", "mail", 0, `{}`)).Resource.Version
 	for round := range 20 {
 		var answers [2]*client.Response
 		var operators sync.WaitGroup
 		for i := range answers {
 			operators.Go(func() {
-				answers[i] = w.configures(changeOf(fmt.Sprintf("round-%d-%d", round, i), "mail", version, fmt.Sprintf(`{"tenants":[{"name":"by-%d"}]}`, i)))
+				answers[i] = w.configure(changeOf(fmt.Sprintf("round-%d-%d", round, i), "mail", version, fmt.Sprintf(`{"tenants":[{"name":"by-%d"}]}`, i)))
 			})
 		}
 		operators.Wait()
@@ -188,11 +188,11 @@
 		if answers[winner].Rejection != "" || !loser.Conflict || loser.Rejection == "" {
 			t.Fatalf("round %d: %+v and %+v, wanted one to win and a conflict", round, answers[0], answers[1])
 		}
-		read := w.asks(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource
+		read := w.do(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource
 		if read.Version != answers[winner].Resource.Version || read.Version != version+1 || !strings.Contains(string(read.Settings), fmt.Sprint("by-", winner)) {
 			t.Fatalf("round %d: %+v, wanted what %d wrote, at one version on from %v", round, read, winner, version)
 		}
-		again := w.configures(changeOf(fmt.Sprintf("round-%d-%d", round, winner), "mail", version, `{}`))
+		again := w.configure(changeOf(fmt.Sprintf("round-%d-%d", round, winner), "mail", version, `{}`))
 		if again.Rejection != "" || again.Resource.Version != read.Version {
 			t.Fatalf("round %d: sent again: %+v, wanted version %v", round, again, read.Version)
 		}
@@ -200,55 +200,54 @@
 	}
 }
 
-// Without a leader a member says no at once, also to a poll that waits; a follower
-// that was stopped does not hand on what is older than the question.
-func TestFollowWithoutLeader(t *testing.T) {
+// Without a leader a member is unavailable at once, also to a waiting long poll; a
+// follower that was suspended does not return what is older than the request.
+func TestWatchWithoutLeader(t *testing.T) {
 	t.Parallel()
-	w := configurable(t)
-	version := w.configures(changeOf("a", "mail", 0, `{}`)).Resource.Version
+	w := newUpgradedCluster(t)
+	version := w.configure(changeOf("a", "mail", 0, `{}`)).Resource.Version
 	leader := w.leader(0)
 	stopped, other := leader%3+1, (leader+1)%3+1
-	if u := w.polls(stopped, 0, 0, updates).Update; u.Version != version {
+	if u := w.poll(stopped, 0, 0, hasUpdate).Update; u.Version != version {
 		t.Fatalf("member %d: %+v, wanted version %v", stopped, u, version)
 	}
-	w.procs[stopped].Process.Signal(syscall.SIGSTOP)
-	newer := w.configures(changeOf("b", "mail", version, `{}`)).Resource.Version
-	w.procs[stopped].Process.Signal(syscall.SIGCONT)
-	if u := w.polls(stopped, 0, 0, updates).Update; u.Version < newer {
-		t.Fatalf("a member that was stopped: version %v after %v was agreed on", u.Version, newer)
+	w.signal(stopped, syscall.SIGSTOP)
+	newer := w.configure(changeOf("b", "mail", version, `{}`)).Resource.Version
+	w.signal(stopped, syscall.SIGCONT)
+	if u := w.poll(stopped, 0, 0, hasUpdate).Update; u.Version < newer {
+		t.Fatalf("a member that was suspended: version %v after %v was committed", u.Version, newer)
 	}
 
-	// A poll that waits hears of the loss long before its wait is over.
-	noes := make(chan *client.Response, 1)
+	// A waiting long poll returns long before its wait is over.
+	responses := make(chan *client.Response, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), client.MaxWait-time.Second)
 		defer cancel()
 		q := client.Request{Kind: client.WatchConfiguration, Version: newer, WaitMS: int(client.MaxWait.Milliseconds())}
-		a, err := client.Call(ctx, http.DefaultClient, w.file.memberAddresses()[uint64(other)], "test", q)
+		a, err := client.Call(ctx, http.DefaultClient, w.config.memberAddresses()[uint64(other)], "test", q)
 		if err != nil {
 			a = &client.Response{Rejection: err.Error()}
 		}
-		noes <- a
+		responses <- a
 	}()
 	time.Sleep(100 * time.Millisecond) // likely enough that the poll waits
 	w.kill(leader)
 	w.kill(stopped)
-	if a := <-noes; a.Unavailable == "" {
-		t.Errorf("a poll that waits for a member alone: %+v, wanted a no", a)
+	if a := <-responses; a.Unavailable == "" {
+		t.Errorf("a long poll of a member alone: %+v, wanted it unavailable", a)
 	}
-	if a, err := w.one(other, client.Request{Kind: client.WatchConfiguration, WaitMS: 2000}); err != nil || a.Unavailable == "" {
-		t.Errorf("a member alone: %+v, %v, wanted a no", a, err)
+	if a, err := w.call(other, client.Request{Kind: client.WatchConfiguration, WaitMS: 2000}); err != nil || a.Unavailable == "" {
+		t.Errorf("a member alone: %+v, %v, wanted it unavailable", a, err)
 	}
 }
 
-// Changes that come at once share a write: their number on the leader's disk is far
-// below theirs.
+// Concurrent changes share synced writes of the leader's file.
 func TestConcurrentChangesShareWrites(t *testing.T) {
 	t.Parallel()
-	w := configurable(t)
+	w := newUpgradedCluster(t)
 	const single, together = 50, 200
 	change := func(id string, i int, ifVersion *configuration.Version) {
-		a := w.configures(&configuration.Change{ID: id, Service: fmt.Sprint("service-", i), IfVersion: ifVersion, Settings: json.RawMessage(`{}`)})
+		a := w.configure(&configuration.Change{ID: id, Service: fmt.Sprint("service-", i), IfVersion: ifVersion, Settings: json.RawMessage(`{}`)})
 		if a.Rejection != "" {
 			t.Errorf("%s: %s", id, a.Rejection)
 		}
@@ -261,7 +260,7 @@
 		all.Wait()
 	}
 	atOnce("create", new(configuration.Version))
-	rounds := 0 // each measurement has ids of its own
+	rounds := 0 // in the change IDs of a measurement
 	before, after := w.withinTerm(func() {
 		rounds++
 		for i := range single {
@@ -283,14 +282,15 @@
 	}
 }
 
-// BenchmarkFollow is the processor time that a council's three members spend together:
-// in a second without polls, in one in which 19 relays wait for news in vain, and on
-// bringing one change to all of them.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkWatch is the processor time of a cluster's three members together: in a
+// second without long polls, in one with 19 idle ones, and for sending one change to all
+// of them.
+func BenchmarkWatch(b *testing.B) {
 	const relays, waitMS = 19, 350
-	w := configurable(b)
+	w := newUpgradedCluster(b)
 	changes := 0
 	perSecond := func(b *testing.B, used time.Duration) {
+		b.Helper()
 		b.ReportMetric(used.Seconds()/b.Elapsed().Seconds(), "cores")
 	}
 	b.Run("alone", func(b *testing.B) {
@@ -300,14 +300,14 @@
 		}
 		perSecond(b, w.processorTime()-start)
 	})
-	version := w.configures(changeOf("a", "mail", 0, `{}`)).Resource.Version
+	version := w.configure(changeOf("a", "mail", 0, `{}`)).Resource.Version
 	b.Run("idle", func(b *testing.B) {
 		var polls sync.WaitGroup
 		start := w.processorTime()
 		for i := range relays {
 			polls.Go(func() {
 				for range b.N {
-					w.polls(1+i%3, version, waitMS, updates)
+					w.poll(1+i%3, version, waitMS, hasUpdate)
 				}
 			})
 		}
@@ -320,12 +320,12 @@
 			var polls sync.WaitGroup
 			for k := range relays {
 				polls.Go(func() {
-					w.polls(1+k%3, version, 2000, func(a *client.Response) bool { return a.Update != nil && a.Update.Version > version })
+					w.poll(1+k%3, version, 2000, func(a *client.Response) bool { return a.Update != nil && a.Update.Version > version })
 				})
 			}
 			changes++
 			change := &configuration.Change{ID: fmt.Sprint("change-", changes), Service: "mail", Settings: json.RawMessage(`{}`)}
-			next := w.configures(change).Resource.Version
+			next := w.configure(change).Resource.Version
 			polls.Wait()
 			version = next
 		}
@@ -333,10 +333,10 @@
 	})
 }
 
-// processorTime is what the members' processes have used so far.
-func (w *world) processorTime() (total time.Duration) {
+// processorTime returns the time that the members' processes have used.
+func (w *testCluster) processorTime() (total time.Duration) {
 	w.t.Helper()
-	for _, process := range w.procs {
+	for _, process := range w.processes {
 		threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process.Process.Pid))
 		if err != nil {
 			w.t.Fatal(err)
@@ -344,10 +344,12 @@
 		for _, thread := range threads {
 			text, err := os.ReadFile(thread)
 			if err != nil {
-				continue // it has ended
+				continue // the thread has ended
 			}
 			var ran int64
-			fmt.Sscan(string(text), &ran)
+			if _, err := fmt.Sscan(string(text), &ran); err != nil {
+				w.t.Fatal(err)
+			}
 			total += time.Duration(ran)
 		}
 	}
--- a/internal/fleet/coordination/server/handler.go
+++ b/internal/fleet/coordination/server/handler.go
@@ -168,7 +168,7 @@
 		var changed <-chan struct{}
 		if !s.execute(r.Context(), func() {
 			changed = s.changeSignal(request.Kind)
-			s.respond(&call{request: request, responses: responses})
+			s.respond(&pendingCall{request: request, responses: responses})
 		}) {
 			return
 		}
--- a/internal/fleet/coordination/server/requests.go
+++ b/internal/fleet/coordination/server/requests.go
@@ -17,136 +17,136 @@
 	hostReportTTL = time.Minute
 )
 
-// call is one request of a client, which is responded to once. Its methods run on the
+// pendingCall is one request of a client, which is responded to once. Its methods run on the
 // goroutine of Server.Run.
-type call struct {
+type pendingCall struct {
 	request   client.Request
 	response  *client.Response
 	responses chan<- *client.Response // of capacity 1
 }
 
-func (c *call) reply() { c.responses <- c.response }
+func (c *pendingCall) reply() { c.responses <- c.response }
 
-func (c *call) reject(reason string) {
+func (c *pendingCall) reject(reason string) {
 	c.response.Rejection = reason
 	c.reply()
 }
 
 // replyError replies with an error that the client may solve by another member or a
 // retry; nil replies with the response as it is.
-func (s *Server) replyError(c *call, err error) {
+func (s *Server) replyError(pending *pendingCall, err error) {
 	if err != nil {
-		c.response.Unavailable, c.response.OutcomeUnknown = err.Error(), errors.Is(err, coordination.ErrUnknownOutcome)
+		pending.response.Unavailable, pending.response.OutcomeUnknown = err.Error(), errors.Is(err, coordination.ErrUnknownOutcome)
 		if notLeader, is := errors.AsType[coordination.NotLeaderError](err); is && notLeader.Leader != 0 {
-			c.response.Leader = s.address(notLeader.Leader)
+			pending.response.Leader = s.address(notLeader.Leader)
 		}
 	}
-	c.reply()
+	pending.reply()
 }
 
 // respond starts the processing of a request. The response comes when the member has
 // committed or confirmed what it needs. On the goroutine of Run.
-func (s *Server) respond(c *call) {
-	c.response = &client.Response{
+func (s *Server) respond(pending *pendingCall) {
+	pending.response = &client.Response{
 		Cluster: s.cluster, Member: s.number, WrongClusterCalls: s.wrongClusterCalls, Version: coordination.StateVersion,
 		LeaseMS: s.config.Lease.Milliseconds(), MarginMS: s.config.Margin.Milliseconds(),
 	}
 	if s.member == nil {
-		c.response.Unavailable = "found no majority that confirms this member's file, wanted one: it is not started yet"
-		c.reply()
+		pending.response.Unavailable = "found no majority that confirms this member's file, wanted one: it is not started yet"
+		pending.reply()
 		return
 	}
-	c.response.Term, _, c.response.Index = s.member.Status()
-	c.response.IsLeader, c.response.Voters, c.response.Learners = s.member.IsLeader(), s.member.Voters(), s.member.Learners()
-	c.response.Syncs = s.storage.syncs
-	switch c.request.Kind {
+	pending.response.Term, _, pending.response.Index = s.member.Status()
+	pending.response.IsLeader, pending.response.Voters, pending.response.Learners = s.member.IsLeader(), s.member.Voters(), s.member.Learners()
+	pending.response.Syncs = s.storage.syncs
+	switch pending.request.Kind {
 	case client.AcquireLease, client.ReleaseLease, client.WriteCheckpoint, client.AdvanceToken,
 		client.RequestOperation, client.CompleteOperation, client.SetHostStatus, client.AdvertiseVersion:
-		s.propose(c)
+		s.propose(pending)
 	case client.RenewLease:
-		s.renewLease(c)
+		s.renewLease(pending)
 	case client.WatchLeases:
-		s.watchLeases(c)
+		s.watchLeases(pending)
 	case client.ReportHost:
-		s.recordHostReport(c)
+		s.recordHostReport(pending)
 	case client.ReadState:
-		s.readState(c)
+		s.readState(pending)
 	case client.ChangeConfiguration:
-		s.changeConfiguration(c)
+		s.changeConfiguration(pending)
 	case client.WatchConfiguration:
-		s.watchConfiguration(c)
+		s.watchConfiguration(pending)
 	case client.ReadConfiguration:
-		s.readConfiguration(c)
+		s.readConfiguration(pending)
 	case client.AddMember:
-		s.member.ChangeMembership(raftpb.ConfChangeAddLearnerNode, c.request.Member, c.request.Address, s.replyResult(c))
+		s.member.ChangeMembership(raftpb.ConfChangeAddLearnerNode, pending.request.Member, pending.request.Address, s.replyResult(pending))
 	case client.RemoveMember:
-		s.member.ChangeMembership(raftpb.ConfChangeRemoveNode, c.request.Member, "", s.replyResult(c))
+		s.member.ChangeMembership(raftpb.ConfChangeRemoveNode, pending.request.Member, "", s.replyResult(pending))
 	case client.StepDown:
-		s.stepDown(c)
+		s.stepDown(pending)
 	default:
-		c.reject(fmt.Sprintf("kind: found %q, wanted one that is known", c.request.Kind))
+		pending.reject(fmt.Sprintf("kind: found %q, wanted one that is known", pending.request.Kind))
 	}
 }
 
 // replyResult returns the function that replies with the result of a proposal.
-func (s *Server) replyResult(c *call) func(coordination.Result, error) {
+func (s *Server) replyResult(pending *pendingCall) func(coordination.Result, error) {
 	return func(result coordination.Result, err error) {
-		c.response.Rejection, c.response.Lease = result.Rejection, result.Lease
-		s.replyError(c, err)
+		pending.response.Rejection, pending.response.Lease = result.Rejection, result.Lease
+		s.replyError(pending, err)
 	}
 }
 
 // read fills the response from the state when a majority has confirmed that this
 // member is the leader.
-func (s *Server) read(c *call, fill func(*coordination.State)) {
+func (s *Server) read(pending *pendingCall, fill func(*coordination.State)) {
 	s.member.Read(func(err error) {
 		if err == nil {
 			fill(s.member.State())
 		}
-		s.replyError(c, err)
+		s.replyError(pending, err)
 	})
 }
 
 // propose proposes the command that a request asks for. A request has no more of the
 // command than its kind uses.
-func (s *Server) propose(c *call) {
-	command := coordination.Command{Kind: coordination.CommandKind(c.request.Kind), Token: c.request.Token}
-	if c.request.Kind == client.AdvertiseVersion {
-		command.Member = c.request.Member
+func (s *Server) propose(pending *pendingCall) {
+	command := coordination.Command{Kind: coordination.CommandKind(pending.request.Kind), Token: pending.request.Token}
+	if pending.request.Kind == client.AdvertiseVersion {
+		command.Member = pending.request.Member
 	} else {
-		command.Subject, command.Lease, command.OperationID, command.Data = c.request.Subject, c.request.Lease, c.request.OperationID, c.request.Data
+		command.Subject, command.Lease, command.OperationID, command.Data = pending.request.Subject, pending.request.Lease, pending.request.OperationID, pending.request.Data
 	}
-	s.member.Propose(command, s.replyResult(c))
+	s.member.Propose(command, s.replyResult(pending))
 }
 
-func (s *Server) renewLease(c *call) {
-	s.member.RenewLease(c.request.Lease, c.request.Token, func(err error) {
-		if lease := s.member.State().Leases[c.request.Lease]; lease != nil {
-			c.response.Lease = lease.Copy()
+func (s *Server) renewLease(pending *pendingCall) {
+	s.member.RenewLease(pending.request.Lease, pending.request.Token, func(err error) {
+		if lease := s.member.State().Leases[pending.request.Lease]; lease != nil {
+			pending.response.Lease = lease.Copy()
 		}
 		if errors.Is(err, coordination.ErrNotHolder) || errors.Is(err, coordination.ErrLeaseRevoked) {
-			c.reject(err.Error())
+			pending.reject(err.Error())
 			return
 		}
-		s.replyError(c, err)
+		s.replyError(pending, err)
 	})
 }
 
-func (s *Server) readState(c *call) {
-	s.read(c, func(state *coordination.State) {
-		c.response.State, c.response.Reports, c.response.Holders = state.WithoutConfiguration(), s.hostReports(), holders(state)
+func (s *Server) readState(pending *pendingCall) {
+	s.read(pending, func(state *coordination.State) {
+		pending.response.State, pending.response.Reports, pending.response.Holders = state.WithoutConfiguration(), s.hostReports(), holders(state)
 	})
 }
 
-func (s *Server) watchLeases(c *call) {
+func (s *Server) watchLeases(pending *pendingCall) {
 	state := s.member.State()
-	c.response.Holders, c.response.PendingOperations = holders(state), map[string]bool{}
+	pending.response.Holders, pending.response.PendingOperations = holders(state), map[string]bool{}
 	for _, operation := range state.Operations {
 		if operation.Outcome == "" {
-			c.response.PendingOperations[operation.Lease] = true
+			pending.response.PendingOperations[operation.Lease] = true
 		}
 	}
-	c.reply()
+	pending.reply()
 }
 
 // holders returns the holder of each lease, by its name; the holder of a free lease has
@@ -159,35 +159,35 @@
 	return all
 }
 
-func (s *Server) stepDown(c *call) {
+func (s *Server) stepDown(pending *pendingCall) {
 	if !s.member.IsLeader() {
-		s.replyError(c, coordination.NotLeaderError{Leader: s.member.Leader()})
+		s.replyError(pending, coordination.NotLeaderError{Leader: s.member.Leader()})
 		return
 	}
 	var err error
-	if c.request.Lease != "" {
-		err = s.member.RevokeLease(c.request.Lease)
+	if pending.request.Lease != "" {
+		err = s.member.RevokeLease(pending.request.Lease)
 	} else {
 		err = s.member.TransferLeadership()
 	}
 	if err != nil {
-		c.reject(err.Error())
+		pending.reject(err.Error())
 		return
 	}
-	c.reply()
+	pending.reply()
 }
 
 // recordHostReport records how a host is. Only the leader does so, in memory.
-func (s *Server) recordHostReport(c *call) {
-	host, data := c.request.Subject, c.request.Data
+func (s *Server) recordHostReport(pending *pendingCall) {
+	host, data := pending.request.Subject, pending.request.Data
 	switch {
 	case len(data) > maxHostReportBytes || len(s.reports) >= coordination.MaxHosts && s.reports[host].data == nil:
-		c.reject(fmt.Sprintf("report of %s: found %d bytes and %d hosts, wanted %d and %d at most", host, len(data), len(s.reports), maxHostReportBytes, coordination.MaxHosts))
+		pending.reject(fmt.Sprintf("report of %s: found %d bytes and %d hosts, wanted %d and %d at most", host, len(data), len(s.reports), maxHostReportBytes, coordination.MaxHosts))
 	case !s.member.IsLeader():
-		s.replyError(c, coordination.NotLeaderError{Leader: s.member.Leader()})
+		s.replyError(pending, coordination.NotLeaderError{Leader: s.member.Leader()})
 	default:
 		s.reports[host] = hostReport{data: data, receivedAt: s.ticks}
-		c.reply()
+		pending.reply()
 	}
 }
 
--- a/internal/fleet/coordination/server/server_test.go
+++ b/internal/fleet/coordination/server/server_test.go
@@ -24,23 +24,14 @@
 	"otterspring/internal/fleet/coordination/client"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
+
+// memberVariable makes the test program a member: "FILE NUMBER MODE".
+const memberVariable = "TEST_MEMBER"
 
-// TestMain is a member where a test asks for one: TEST_MEMBER is "FILE NUMBER BEGIN".
 func TestMain(m *testing.M) {
-	if words := strings.Fields(os.Getenv("TEST_MEMBER")); len(words) == 3 {
-		number, _ := strconv.ParseUint(words[1], 10, 64)
-		begin, _ := strconv.Atoi(words[2])
-		f, err := LoadConfig(words[0])
-		if err == nil {
-			var n *Server
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-			defer stop()
-			if n, err = Open(ctx, f, number, StartMode(begin), slog.New(slog.NewTextHandler(os.Stderr, nil))); err == nil {
-				err = n.Run(ctx)
-			}
-		}
-		if err != nil {
+	if args := strings.Fields(os.Getenv(memberVariable)); len(args) == 3 {
+		if err := runTestMember(args[0], args[1], args[2]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -49,104 +40,164 @@
 	os.Exit(m.Run())
 }
 
+// runTestMember is a member until SIGTERM.
+func runTestMember(path, numberText, modeText string) error {
+	number, err := strconv.ParseUint(numberText, 10, 64)
+	if err != nil {
+		return err
+	}
+	mode, err := strconv.Atoi(modeText)
+	if err != nil {
+		return err
+	}
+	config, err := LoadConfig(path)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer stop()
+	member, err := Open(ctx, config, number, StartMode(mode), slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	if err != nil {
+		return err
+	}
+	return member.Run(ctx)
+}
+
 var ips atomic.Int32
 
-// world is a council of processes.
-type world struct {
-	t     testing.TB
-	path  string
-	file  *Config
-	procs map[int]*exec.Cmd
+// testCluster is a cluster whose members are processes of the test program.
+type testCluster struct {
+	t         testing.TB
+	path      string
+	config    *Config
+	processes map[int]*exec.Cmd // running, by member number
 }
 
-// build writes the file of a council of n members, and of more that may join.
-func build(t testing.TB, dir string, n int) *world {
-	t.Helper()
-	w := &world{t: t, path: filepath.Join(dir, "council.toml"), procs: map[int]*exec.Cmd{}}
-	var b strings.Builder
-	b.WriteString("name = \"test\"\ndirectory = \"state\"\ntick = \"20ms\"\nlease = \"1s\"\nmargin = \"100ms\"\n")
+// newTestCluster writes the file of a cluster of n members, or of fewer that others
+// join later.
+func newTestCluster(tb testing.TB, dir string, n int) *testCluster {
+	tb.Helper()
+	w := &testCluster{t: tb, path: filepath.Join(dir, "council.toml"), processes: map[int]*exec.Cmd{}}
+	var text strings.Builder
+	text.WriteString("name = \"test\"\ndirectory = \"state\"\ntick = \"20ms\"\nlease = \"1s\"\nmargin = \"100ms\"\n")
 	ip := fmt.Sprintf("127.%d.%d.%d", 60+os.Getpid()%40, 1+os.Getpid()/40%250, 1+ips.Add(1))
-	var listeners []net.Listener // all open until each has an address of its own
+	var listeners []net.Listener // all open until each has a different port
 	for i := 1; i <= n; i++ {
-		ln, err := net.Listen("tcp", ip+":0")
+		listener, err := net.Listen("tcp", ip+":0")
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		listeners = append(listeners, ln)
-		fmt.Fprintf(&b, "[[member]]\nnumber = %d\naddress = %q\n", i, ln.Addr())
+		listeners = append(listeners, listener)
+		fmt.Fprintf(&text, "[[member]]\nnumber = %d\naddress = %q\n", i, listener.Addr())
 	}
-	for _, ln := range listeners {
-		ln.Close()
+	for _, listener := range listeners {
+		listener.Close()
 	}
-	os.WriteFile(w.path, []byte(b.String()), 0o600)
+	writeFile(tb, w.path, []byte(text.String()))
 	var err error
-	if w.file, err = LoadConfig(w.path); err != nil {
-		t.Fatal(err)
+	if w.config, err = LoadConfig(w.path); err != nil {
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() {
-		for i := range w.procs {
+	tb.Cleanup(func() {
+		for i := range w.processes {
 			w.kill(i)
-			if text, _ := os.ReadFile(w.log(i)); t.Failed() {
-				t.Logf("member %d: %s", i, text)
+			if text, err := os.ReadFile(w.log(i)); tb.Failed() {
+				tb.Logf("member %d (%v): %s", i, err, text)
 			}
 		}
 	})
 	return w
 }
 
-func (w *world) start(i int, begin StartMode) {
+func writeFile(tb testing.TB, path string, data []byte) {
+	tb.Helper()
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+func readFile(tb testing.TB, path string) []byte {
+	tb.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return data
+}
+
+func (w *testCluster) start(i int, mode StartMode) {
 	w.t.Helper()
-	w.startOf(i, begin, w.path)
+	w.startWithConfig(i, mode, w.path)
 }
 
-func (w *world) startOf(i int, begin StartMode, path string) {
+func (w *testCluster) startWithConfig(i int, mode StartMode, path string) {
 	w.t.Helper()
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), fmt.Sprintf("TEST_MEMBER=%s %d %d", path, i, begin))
+	c.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d %d", memberVariable, path, i, mode))
 	out, err := os.OpenFile(w.log(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	defer out.Close()
 	c.Stdout, c.Stderr = out, out
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
-	if err := c.Start(); err != nil {
+	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends with the test program
+	if err := errors.Join(c.Start(), out.Close()); err != nil {
 		w.t.Fatal(err)
 	}
-	w.procs[i] = c
+	w.processes[i] = c
 }
 
-func (w *world) log(i int) string { return fmt.Sprintf("%s.%d.log", w.path, i) }
+func (w *testCluster) log(i int) string { return fmt.Sprintf("%s.%d.log", w.path, i) }
+
+// kill ends a member's process, which must be running or have ended with a failure.
+func (w *testCluster) kill(i int) {
+	w.t.Helper()
+	c := w.processes[i]
+	if c == nil {
+		return
+	}
+	delete(w.processes, i)
+	if err := c.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		w.t.Errorf("member %d: %v", i, err)
+	}
+	if err := c.Wait(); err == nil {
+		w.t.Errorf("member %d ended without a failure before it was killed", i)
+	}
+}
 
-func (w *world) kill(i int) {
-	if c := w.procs[i]; c != nil {
-		c.Process.Kill()
-		c.Wait()
-		delete(w.procs, i)
+// signal sends a signal to a member's process.
+func (w *testCluster) signal(i int, s os.Signal) {
+	w.t.Helper()
+	if err := w.processes[i].Process.Signal(s); err != nil {
+		w.t.Fatal(err)
 	}
 }
 
-// refused awaits that a member ends by itself with a line that has want.
-func (w *world) refused(i int, want string) {
+// expectExit waits until a member's process ends with exit code 1 and a line that
+// contains want.
+func (w *testCluster) expectExit(i int, want string) {
 	w.t.Helper()
-	c := w.procs[i]
-	delete(w.procs, i)
-	timer := time.AfterFunc(patience, func() { c.Process.Kill() })
+	c := w.processes[i]
+	delete(w.processes, i)
+	timer := time.AfterFunc(testTimeout, func() {
+		if err := c.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			w.t.Errorf("member %d: %v", i, err)
+		}
+	})
 	err := c.Wait()
 	timer.Stop()
-	text, _ := os.ReadFile(w.log(i))
+	text := readFile(w.t, w.log(i))
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(text), want) {
-		w.t.Errorf("member %d: %v, wanted an end by itself with %q: %s", i, err, want, text)
+		w.t.Errorf("member %d: %v, wanted exit code 1 with %q: %s", i, err, want, text)
 	}
 }
 
-// asks asks until there is an answer.
-func (w *world) asks(q client.Request) *client.Response {
+// do sends a request until a member answers it, also where the outcome was unknown.
+func (w *testCluster) do(q client.Request) *client.Response {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	c := client.NewClient("test", w.file.Addresses())
+	c := client.NewClient("test", w.config.Addresses())
 	defer c.Close()
 	for {
 		a, err := c.Do(ctx, q)
@@ -159,22 +210,22 @@
 	}
 }
 
-// one asks one member.
-func (w *world) one(i int, q client.Request) (*client.Response, error) {
+// call sends a request to one member.
+func (w *testCluster) call(i int, q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	return client.Call(ctx, http.DefaultClient, w.file.memberAddresses()[uint64(i)], "test", q)
+	return client.Call(ctx, http.DefaultClient, w.config.memberAddresses()[uint64(i)], "test", q)
 }
 
-// leader awaits a leader and returns its number.
-func (w *world) leader(but int) int {
+// leader waits for a leader other than one member and returns its number.
+func (w *testCluster) leader(except int) int {
 	w.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		for i := range w.procs {
-			if i == but {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		for i := range w.processes {
+			if i == except {
 				continue
 			}
-			if a, err := w.one(i, client.Request{Kind: client.ReadState}); err == nil && a.Unavailable == "" {
+			if a, err := w.call(i, client.Request{Kind: client.ReadState}); err == nil && a.Unavailable == "" {
 				return i
 			}
 		}
@@ -183,36 +234,37 @@
 	return 0
 }
 
-// take takes a duty as soon as it is free, and returns the epoch.
-func (w *world) take(who string) coordination.FencingToken {
+// acquire acquires a lease when it is free, and returns the token.
+func (w *testCluster) acquire(holder string) coordination.FencingToken {
 	w.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if a := w.asks(client.Request{Kind: client.AcquireLease, Subject: who, Lease: "roll"}); a.Lease != nil && a.Lease.Holder == who {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if a := w.do(client.Request{Kind: client.AcquireLease, Subject: holder, Lease: "roll"}); a.Lease != nil && a.Lease.Holder == holder {
 			return a.Lease.Token
 		}
 	}
-	w.t.Fatalf("%s does not get the duty", who)
+	w.t.Fatalf("%s does not get the lease", holder)
 	return 0
 }
 
-// All members killed at once and started in any order; the leader stopped, followed
-// and woken: an epoch is never given twice, and who is alone says no.
-func TestKilledStoppedAndWoken(t *testing.T) {
+// All members are killed at once and restarted in any order; the leader is suspended,
+// replaced and resumed: a token is never issued twice, and a member without a majority
+// is unavailable.
+func TestKilledSuspendedAndResumed(t *testing.T) {
 	t.Parallel()
-	w := build(t, t.TempDir(), 3)
+	w := newTestCluster(t, t.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
 		w.start(i, Bootstrap)
 	}
-	first := w.take("h1")
-	// What a host says of itself is kept by the leader, and members say what they can.
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		w.asks(client.Request{Kind: client.ReportHost, Subject: "h1", Data: []byte(`{"up":3}`)})
-		a := w.asks(client.Request{Kind: client.ReadState})
+	first := w.acquire("h1")
+	// The leader stores host reports, and members advertise their versions.
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		w.do(client.Request{Kind: client.ReportHost, Subject: "h1", Data: []byte(`{"up":3}`)})
+		a := w.do(client.Request{Kind: client.ReadState})
 		if a.State.SupportedVersions[1] == coordination.StateVersion && string(a.Reports["h1"].Data) == `{"up":3}` {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatalf("able %v, reports %v", a.State.SupportedVersions, a.Reports)
+		if time.Now().After(deadline) {
+			t.Fatalf("supported versions %v, reports %v", a.State.SupportedVersions, a.Reports)
 		}
 	}
 	for i := 1; i <= 3; i++ {
@@ -220,119 +272,118 @@
 	}
 	w.start(3, Resume)
 	w.start(1, Resume)
-	if got := w.asks(client.Request{Kind: client.ReadState}).State.Leases["roll"]; got.Token != first || got.Holder != "h1" {
+	if got := w.do(client.Request{Kind: client.ReadState}).State.Leases["roll"]; got.Token != first || got.Holder != "h1" {
 		t.Errorf("after the kill: %+v, wanted h1's %v", got, first)
 	}
 	w.start(2, Resume)
-	if a := w.asks(client.Request{Kind: client.RenewLease, Lease: "roll", Token: first}); a.Rejection != "" {
+	if a := w.do(client.Request{Kind: client.RenewLease, Lease: "roll", Token: first}); a.Rejection != "" {
 		t.Errorf("renewed: %s", a.Rejection)
 	}
-	// Nobody renews: the lease runs out, and the next epoch is newer.
-	second := w.take("h2")
+	// Nobody renews: the lease expires, and the next token is greater.
+	second := w.acquire("h2")
 	if second <= first {
-		t.Errorf("epoch %v after %v", second, first)
+		t.Errorf("token %v after %v", second, first)
 	}
 	old := w.leader(0)
-	w.procs[old].Process.Signal(syscall.SIGSTOP)
+	w.signal(old, syscall.SIGSTOP)
 	w.leader(old)
-	if a := w.asks(client.Request{Kind: client.WriteCheckpoint, Lease: "roll", Subject: "h1", Token: first, Data: []byte(`"late"`)}); a.Rejection == "" {
-		t.Error("the note of a late owner was taken")
+	if a := w.do(client.Request{Kind: client.WriteCheckpoint, Lease: "roll", Subject: "h1", Token: first, Data: []byte(`"late"`)}); a.Rejection == "" {
+		t.Error("the checkpoint of a former holder was accepted")
 	}
-	third := w.take("h3")
-	w.procs[old].Process.Signal(syscall.SIGCONT)
-	// The old leader has h2's renewal in its memory, and must not confirm it.
-	if a, err := w.one(old, client.Request{Kind: client.RenewLease, Lease: "roll", Token: second}); err == nil && a.Unavailable == "" && a.Rejection == "" {
-		t.Errorf("the old leader renewed epoch %v after %v was given: %+v", second, third, a)
+	third := w.acquire("h3")
+	w.signal(old, syscall.SIGCONT)
+	// The old leader knows h2's renewal, and must not confirm another one.
+	if a, err := w.call(old, client.Request{Kind: client.RenewLease, Lease: "roll", Token: second}); err == nil && a.Unavailable == "" && a.Rejection == "" {
+		t.Errorf("the old leader renewed token %v after %v was issued: %+v", second, third, a)
 	}
-	// A member alone says no at once.
+	// A member alone is unavailable at once.
 	for i := 1; i <= 3; i++ {
 		if i != old {
 			w.kill(i)
 		}
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		a, err := w.one(old, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"})
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		a, err := w.call(old, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"})
 		if err == nil && a.Unavailable != "" && a.Leader == "" && !a.OutcomeUnknown {
 			break
 		}
 		if err == nil && a.Unavailable == "" && a.Rejection == "" {
-			t.Fatalf("a member alone gave the duty away: %+v", a)
+			t.Fatalf("a member alone granted the lease: %+v", a)
 		}
-		if time.Now().After(end) {
-			t.Fatalf("a member alone: %+v %v, wanted a no", a, err)
+		if time.Now().After(deadline) {
+			t.Fatalf("a member alone: %+v %v, wanted it unavailable", a, err)
 		}
 	}
 }
 
-// Disks that are not the member's own of now.
-func TestDisksOfOthers(t *testing.T) {
+// Files that are not the member's current one are rejected.
+func TestWrongFiles(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	w := build(t, dir, 3)
+	w := newTestCluster(t, dir, 3)
 	w.start(1, Resume)
-	w.refused(1, "found no state, wanted member 1's")
+	w.expectExit(1, "found no state, wanted member 1's")
 	for i := 1; i <= 3; i++ {
 		w.start(i, Bootstrap)
 	}
-	w.take("h1")
-	// Yesterday's disk.
+	w.acquire("h1")
+	// An older copy of its file.
 	w.kill(2)
-	own := storagePath(w.file.memberDirectory(2))
-	yesterday, err := os.ReadFile(own)
-	if err != nil {
-		t.Fatal(err)
-	}
+	own := storagePath(w.config.memberDirectory(2))
+	older := readFile(t, own)
 	w.start(2, Resume)
-	second := w.take("h2")
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		if a, err := w.one(2, client.Request{Kind: client.WatchLeases}); err == nil && a.Holders["roll"].Token == second {
+	second := w.acquire("h2")
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		if a, err := w.call(2, client.Request{Kind: client.WatchLeases}); err == nil && a.Holders["roll"].Token == second {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatal("member 2 does not hear of the second epoch")
+		if time.Now().After(deadline) {
+			t.Fatal("member 2 does not get the second token")
 		}
 	}
 	w.kill(2)
-	today, _ := os.ReadFile(own)
-	os.WriteFile(own, yesterday, 0o600)
+	current := readFile(t, own)
+	writeFile(t, own, older)
 	w.start(2, Resume)
-	w.refused(2, ErrStaleDisk.Error())
-	// Another member's, and a second process on one's own.
-	text, _ := os.ReadFile(storagePath(w.file.memberDirectory(3)))
+	w.expectExit(2, ErrStaleDisk.Error())
+	// Another member's file, and a second process with the same file.
+	text := readFile(t, storagePath(w.config.memberDirectory(3)))
 	w.kill(3)
-	os.WriteFile(own, text, 0o600)
+	writeFile(t, own, text)
 	w.start(2, Resume)
-	w.refused(2, "found the state of member 3, wanted member 2's")
-	os.WriteFile(own, today, 0o600)
+	w.expectExit(2, "found the state of member 3, wanted member 2's")
+	writeFile(t, own, current)
 	w.start(2, Resume)
 	w.leader(0)
-	c := w.procs[2]
+	c := w.processes[2]
 	w.start(2, Resume)
-	w.refused(2, errDirectoryInUse.Error())
-	w.procs[2] = c
-	// A newer program's, and another council's.
+	w.expectExit(2, errDirectoryInUse.Error())
+	w.processes[2] = c
+	// The file of a newer program, and a new cluster over an existing file.
 	w.kill(2)
 	db, err := bolt.Open(own, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyFormat, encodeNumber(formatVersion+1)) })
-	db.Close()
+	err = db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyFormat, encodeNumber(formatVersion+1)) })
+	if err := errors.Join(err, db.Close()); err != nil {
+		t.Fatal(err)
+	}
 	w.start(2, Resume)
-	w.refused(2, "a newer program wrote it")
+	w.expectExit(2, "a newer program wrote it")
 	w.start(1, Bootstrap)
-	w.refused(1, errStateExists.Error())
+	w.expectExit(1, errStateExists.Error())
 }
 
-// Two councils that were given one name: neither takes the other's words.
-func TestTwoCouncilsOfOneName(t *testing.T) {
+// Two clusters with one name reject each other's calls.
+func TestTwoClustersOfOneName(t *testing.T) {
 	t.Parallel()
-	a, b := build(t, t.TempDir(), 3), build(t, t.TempDir(), 3)
+	a, b := newTestCluster(t, t.TempDir(), 3), newTestCluster(t, t.TempDir(), 3)
 	// The second's file names a member of the first as its third.
-	text, _ := os.ReadFile(b.path)
-	os.WriteFile(b.path, []byte(strings.Replace(string(text), b.file.Members[2].Address, a.file.Members[0].Address, 1)), 0o600)
+	text := readFile(t, b.path)
+	writeFile(t, b.path, []byte(strings.Replace(string(text), b.config.Members[2].Address, a.config.Members[0].Address, 1)))
 	var err error
-	if b.file, err = LoadConfig(b.path); err != nil {
+	if b.config, err = LoadConfig(b.path); err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i <= 3; i++ {
@@ -340,52 +391,48 @@
 	}
 	b.start(1, Bootstrap)
 	b.start(2, Bootstrap)
-	first := a.take("h1")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	first := a.acquire("h1")
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	// A client of the first that is sent to the second does not believe it.
-	c := client.NewClient("test", a.file.Addresses())
+	// A client of the first cluster rejects the second's responses.
+	c := client.NewClient("test", a.config.Addresses())
 	defer c.Close()
 	if _, err := c.Do(ctx, client.Request{Kind: client.ReadState}); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		got, err := a.one(1, client.Request{Kind: client.WatchLeases})
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		got, err := a.call(1, client.Request{Kind: client.WatchLeases})
 		if err == nil && got.WrongClusterCalls > 0 && got.Holders["roll"].Token == first {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatalf("the first council has refused nothing of the second: %+v %v", got, err)
+		if time.Now().After(deadline) {
+			t.Fatalf("the first cluster has rejected no call of the second: %+v %v", got, err)
 		}
 	}
-	if got, err := b.one(1, client.Request{Kind: client.WatchLeases}); err != nil || len(got.Holders) != 0 {
-		t.Errorf("the second council knows of %+v (%v)", got, err)
+	if got, err := b.call(1, client.Request{Kind: client.WatchLeases}); err != nil || len(got.Holders) != 0 {
+		t.Errorf("the second cluster has %+v (%v)", got, err)
 	}
 }
 
-// Five grown from three, a member replaced, numbers given once.
-func TestMembersChange(t *testing.T) {
+// A cluster of three grows to five, and a member is removed; numbers are used once.
+func TestMembershipChanges(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	w := build(t, dir, 5)
-	all := w.file.Members
-	text, _ := os.ReadFile(w.path)
+	w := newTestCluster(t, dir, 5)
+	all := w.config.Members
+	text := readFile(t, w.path)
 	at := strings.Index(string(text), "[[member]]\nnumber = 4")
 	three := filepath.Join(dir, "three.toml")
-	os.WriteFile(three, text[:at], 0o600)
+	writeFile(t, three, text[:at])
 	for i := 1; i <= 3; i++ {
-		w.startOf(i, Bootstrap, three)
-	}
-	first := w.take("h1")
-	change := func(q client.Request) string {
-		t.Helper()
-		return w.asks(q).Rejection
+		w.startWithConfig(i, Bootstrap, three)
 	}
+	first := w.acquire("h1")
 	voters := func(want string) {
 		t.Helper()
 		got := ""
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			a := w.asks(client.Request{Kind: client.ReadState})
+		for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+			a := w.do(client.Request{Kind: client.ReadState})
 			if got = fmt.Sprint(a.Voters, a.Learners); got == want {
 				return
 			}
@@ -393,12 +440,12 @@
 		t.Fatalf("members %s, wanted %s", got, want)
 	}
 	for i := 4; i <= 5; i++ {
-		for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-			a, err := w.client(client.Request{Kind: client.AddMember, Member: uint64(i), Address: all[i-1].Address})
+		for deadline := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
+			a, err := w.try(client.Request{Kind: client.AddMember, Member: uint64(i), Address: all[i-1].Address})
 			if err == nil && a.Rejection == "" || a != nil && strings.Contains(a.Rejection, "used before") {
 				break
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				t.Fatalf("member %d is not added: %+v %v", i, a, err)
 			}
 		}
@@ -406,74 +453,73 @@
 		want := []string{"[1 2 3 4] []", "[1 2 3 4 5] []"}[i-4]
 		voters(want)
 	}
-	if a, err := w.client(client.Request{Kind: client.AddMember, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "used before") {
+	if a, err := w.try(client.Request{Kind: client.AddMember, Member: 4, Address: all[3].Address}); err == nil || !strings.Contains(err.Error(), "used before") {
 		t.Errorf("number 4 a second time: %+v %v", a, err)
 	}
-	// Two of five die, and three go on; the first is replaced by nobody.
+	// Two of five fail, and three continue.
 	w.kill(1)
 	w.kill(2)
-	second := w.take("h2")
+	second := w.acquire("h2")
 	if second <= first {
-		t.Errorf("epoch %v after %v", second, first)
+		t.Errorf("token %v after %v", second, first)
 	}
-	_ = change
-	if a, err := w.client(client.Request{Kind: client.RemoveMember, Member: 1}); err != nil || a.Rejection != "" {
+	if a, err := w.try(client.Request{Kind: client.RemoveMember, Member: 1}); err != nil || a.Rejection != "" {
 		t.Errorf("remove: %+v %v", a, err)
 	}
 	voters("[2 3 4 5] []")
 }
 
-// client asks with a bound, and returns what went wrong.
-func (w *world) client(q client.Request) (*client.Response, error) {
+// try sends a request for 5 s at most.
+func (w *testCluster) try(q client.Request) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	c := client.NewClient("test", w.file.Addresses())
+	c := client.NewClient("test", w.config.Addresses())
 	defer c.Close()
 	return c.Do(ctx, q)
 }
 
-// The majority is lost for good: the council is brought back from a snapshot in a
-// new epoch space, and what comes of before is older than all it gives out.
-func TestRestored(t *testing.T) {
+// A cluster that has lost its majority is restored from a snapshot in a new token
+// space: all tokens of before the restore are smaller than those that it issues.
+func TestRestore(t *testing.T) {
 	t.Parallel()
-	w := build(t, t.TempDir(), 3)
+	w := newTestCluster(t, t.TempDir(), 3)
 	for i := 1; i <= 3; i++ {
 		w.start(i, Bootstrap)
 	}
-	w.take("h1")
-	snap, err := FetchSnapshot(t.Context(), w.file)
+	w.acquire("h1")
+	snapshot, err := FetchSnapshot(t.Context(), w.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// After the snapshot epochs go on.
-	last := w.take("h2")
+	// Tokens that are issued after the snapshot.
+	last := w.acquire("h2")
 	for i := 1; i <= 3; i++ {
 		w.kill(i)
 	}
-	if _, err := Restore(w.file, 2, snap, 2, false); !errors.Is(err, ErrOlderSnapshot) {
+	if _, err := Restore(w.config, 2, snapshot, 2, false); !errors.Is(err, ErrOlderSnapshot) {
 		t.Errorf("restored an older snapshot: %v", err)
 	}
-	if _, err := Restore(w.file, 2, snap, 1, true); err == nil || !strings.Contains(err.Error(), "wanted more than the snapshot's 1") {
+	if _, err := Restore(w.config, 2, snapshot, 1, true); err == nil || !strings.Contains(err.Error(), "wanted more than the snapshot's 1") {
 		t.Errorf("restored into its own space: %v", err)
 	}
-	if _, err := Restore(w.file, 2, snap[:len(snap)-1], 2, true); err == nil {
-		t.Error("restored a torn snapshot")
+	if _, err := Restore(w.config, 2, snapshot[:len(snapshot)-1], 2, true); err == nil {
+		t.Error("restored a truncated snapshot")
 	}
-	if _, err := Restore(w.file, 2, snap, 2, true); err != nil {
+	if _, err := Restore(w.config, 2, snapshot, 2, true); err != nil {
 		t.Fatal(err)
 	}
 	w.start(2, Resume)
-	w.start(1, Resume) // a member of before: it is not of this council
-	next := w.take("h3")
+	w.start(1, Resume) // a member of before the restore is not of this cluster
+	next := w.acquire("h3")
 	if next <= last || next.Space() != 2 {
-		t.Errorf("epoch %v after %v", next, last)
+		t.Errorf("token %v after %v", next, last)
 	}
-	if a, err := w.one(1, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"}); err == nil && a.Unavailable == "" {
-		t.Errorf("a member of before gives the duty away: %+v", a)
+	if a, err := w.call(1, client.Request{Kind: client.AcquireLease, Subject: "h4", Lease: "roll"}); err == nil && a.Unavailable == "" {
+		t.Errorf("a member of before the restore grants the lease: %+v", a)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestInvalidConfigs(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	member := func(n int, address string) string {
@@ -493,7 +539,7 @@
 		head + "leese = \"1s\"\n" + one:                  "leese",
 	} {
 		path := filepath.Join(dir, "c.toml")
-		os.WriteFile(path, []byte(text), 0o600)
+		writeFile(t, path, []byte(text))
 		if _, err := LoadConfig(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, wanted %q in one line", text, err, want)
 		}
--- a/internal/fleet/coordination/server/transport.go
+++ b/internal/fleet/coordination/server/transport.go
@@ -34,7 +34,7 @@
 // errNoAddress is the error for a member whose address is not known yet.
 var errNoAddress = errors.New("no address")
 
-// peer sends messages to one other member, on a goroutine of its own.
+// peer sends messages to one other member. Its goroutine, runPeer, ends with Run.
 type peer struct {
 	number uint64
 	queue  chan *raftpb.Message
@@ -57,29 +57,29 @@
 }
 
 // runPeer sends the queued messages, as many as there are in one call, until ctx ends.
-func (s *Server) runPeer(ctx context.Context, p *peer) {
+func (s *Server) runPeer(ctx context.Context, to *peer) {
 	for {
-		body, hasSnapshot := p.nextBatch(ctx)
+		body, hasSnapshot := to.nextBatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		var address string
-		if !s.execute(ctx, func() { address = s.address(p.number) }) {
+		if !s.execute(ctx, func() { address = s.address(to.number) }) {
 			return
 		}
 		err := s.postMessages(ctx, address, body)
 		if err != nil || hasSnapshot {
 			s.execute(ctx, func() {
 				if err != nil {
-					s.member.ReportUnreachable(p.number)
+					s.member.ReportUnreachable(to.number)
 				}
 				if hasSnapshot {
-					s.member.ReportSnapshot(p.number, err == nil)
+					s.member.ReportSnapshot(to.number, err == nil)
 				}
 			})
 		}
 		if err != nil {
-			s.log.Debug("messages to member not sent", "member", p.number, "error", err)
+			s.log.Debug("messages to member not sent", "member", to.number, "error", err)
 			sleep(ctx, s.config.Tick)
 		}
 	}
--- a/internal/fleet/coordination/configuration_sim_test.go
+++ b/internal/fleet/coordination/simulation_configuration_test.go
@@ -13,45 +13,46 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// configureSim lets operators change settings and followers read them in the virtual
-// engine: answers are lost, and a change without an answer is sent again with the
-// same id to whoever leads then.
+// configureSim adds operators that change settings, and reads by any member, to the
+// simulation: responses are lost, and a change without a response is retried with the
+// same ID.
 type configureSim struct {
 	*sim
-	rng       *rand.Rand // its own: the engine's draws stay those of its seed
+	rng       *rand.Rand // separate, so that the simulation's own draws stay those of its seed
 	operators []*simOperator
-	versions  map[string]configuration.Version // by change id, of all that anybody was told
+	versions  map[string]configuration.Version // by change ID, of all that could have been confirmed
 	ids       map[configuration.Version]string
 	replaced  map[string]string     // by service and version: the change that was made for it
-	newest    configuration.Version // that anybody was told
+	newest    configuration.Version // that could have been confirmed
 
-	applied, repeated, conflicts, reads, followerReads int
+	applied, retried, conflicts, reads, followerReads int
 }
 
-// simOperator has one change under way at a time.
+// simOperator has one change in flight at a time.
 type simOperator struct {
-	change *configuration.Change // nil: none under way
-	tries  int
-	busy   int                              // step at which it asks again
-	held   map[string]configuration.Version // what it has read of each service
-	made   int
+	change   *configuration.Change // in flight; nil for none
+	attempts int
+	retryAt  int                              // step
+	versions map[string]configuration.Version // what it has read of each service
+	changes  int
 }
 
 const (
-	simServices    = 4
-	simAnswerSteps = 60 // after which an operator asks again
-	// configureSeedsShare is the share of the engine's seeds that are played with
-	// operators: those steps take several times the others' time.
+	simServices   = 4
+	simRetrySteps = 60 // after which an operator retries
+	// configureSeedsShare is the divisor for the seeds that are simulated with operators:
+	// their steps take several times as long.
 	configureSeedsShare = 4
 )
 
-func newConfigureSim(t testing.TB, seed uint64, members int) *configureSim {
+func newConfigureSim(tb testing.TB, seed uint64, members int) *configureSim {
+	tb.Helper()
 	s := &configureSim{
-		sim: newSim(t, seed, members), rng: rand.New(rand.NewPCG(seed, 11)),
+		sim: newSim(tb, seed, members), rng: rand.New(rand.NewPCG(seed, 11)),
 		versions: map[string]configuration.Version{}, ids: map[configuration.Version]string{}, replaced: map[string]string{},
 	}
 	for range 3 {
-		s.operators = append(s.operators, &simOperator{held: map[string]configuration.Version{}})
+		s.operators = append(s.operators, &simOperator{versions: map[string]configuration.Version{}})
 	}
 	return s
 }
@@ -59,9 +60,9 @@
 func (s *configureSim) runConfigure(steps int) {
 	for range steps {
 		s.run(1)
-		s.tellAble()
+		s.advertiseVersions()
 		for i, o := range s.operators {
-			if s.step >= o.busy && s.rng.IntN(4) == 0 {
+			if s.step >= o.retryAt && s.rng.IntN(4) == 0 {
 				s.runOperator(i, o)
 			}
 		}
@@ -71,12 +72,12 @@
 	}
 }
 
-func (s *configureSim) up(m *simMember) bool { return m.m != nil && s.step >= m.awake }
+func (s *configureSim) running(m *simMember) bool { return m.m != nil && s.step >= m.resumesAt }
 
-// tellAble has the leader agree on what all members can apply.
-func (s *configureSim) tellAble() {
+// advertiseVersions lets the leader propose which version each member supports.
+func (s *configureSim) advertiseVersions() {
 	for _, leader := range s.members {
-		if !s.up(leader) || !leader.m.IsLeader() || s.rng.IntN(20) > 0 {
+		if !s.running(leader) || !leader.m.IsLeader() || s.rng.IntN(20) > 0 {
 			continue
 		}
 		for _, m := range s.members {
@@ -89,62 +90,62 @@
 
 func (s *configureSim) runOperator(number int, o *simOperator) {
 	if o.change == nil {
-		o.change, o.tries = s.newChange(number, o), 0
+		o.change, o.attempts = s.newChange(number, o), 0
 	}
 	m := s.members[s.rng.IntN(len(s.members))]
-	if !s.up(m) {
+	if !s.running(m) {
 		return
 	}
 	change := o.change
-	o.tries++
-	tries, lost := o.tries, s.rng.IntN(5) == 0
-	o.busy = s.step + simAnswerSteps
+	o.attempts++
+	tries, lost := o.attempts, s.rng.IntN(5) == 0
+	o.retryAt = s.step + simRetrySteps
 	command, err := NewConfigurationChange(*change)
 	if err != nil {
 		s.fail("%v", err)
 	}
 	m.m.Propose(command, func(r Result, err error) {
 		if err == nil && r.Rejection == "" {
-			s.wasApplied(change, r.Version, tries)
+			s.recordApplied(change, r.Version, tries)
 		}
 		if lost || o.change != change {
 			return
 		}
-		o.busy = 0
-		if err != nil || r.Rejection != "" && !r.Conflict && o.held[change.Service] == 0 {
-			return // asked again: another leads, or not all can apply it yet
+		o.retryAt = 0
+		if err != nil || r.Rejection != "" && !r.Conflict && o.versions[change.Service] == 0 {
+			return // retried: another member leads, or not all members support it yet
 		}
 		o.change = nil
 		if r.Conflict {
 			s.conflicts++
 			if version, applied := s.versions[change.ID]; applied {
-				s.fail("change %s was applied as %v, and its operator is told of a conflict: %s", change.ID, version, r.Rejection)
+				s.fail("change %s was applied as %v, and its operator gets a conflict: %s", change.ID, version, r.Rejection)
 			}
 		}
-		// It reads before it changes again.
-		o.held[change.Service] = 0
+		// It reads the version before the next change.
+		o.versions[change.Service] = 0
 		if resource := m.m.State().ConfigurationStore().Resources[change.Service]; resource != nil {
-			o.held[change.Service] = resource.Version
+			o.versions[change.Service] = resource.Version
 		}
 	})
 }
 
 // newChange changes one service at the version that its operator has read.
 func (s *configureSim) newChange(number int, o *simOperator) *configuration.Change {
-	o.made++
+	o.changes++
 	service := fmt.Sprint("service-", s.rng.IntN(simServices))
 	change := &configuration.Change{
-		ID: fmt.Sprintf("operator-%d-%d", number, o.made), Service: service,
-		Settings: json.RawMessage(fmt.Sprintf(`{"tenants":[{"name":"by-%d-%d"}]}`, number, o.made)),
+		ID: fmt.Sprintf("operator-%d-%d", number, o.changes), Service: service,
+		Settings: json.RawMessage(fmt.Sprintf(`{"tenants":[{"name":"by-%d-%d"}]}`, number, o.changes)),
 	}
-	if version := o.held[service]; version == 0 || s.rng.IntN(2) == 0 {
+	if version := o.versions[service]; version == 0 || s.rng.IntN(2) == 0 {
 		change.IfVersion = &version
 	}
 	return change
 }
 
-// wasApplied takes that somebody could have been told so.
-func (s *configureSim) wasApplied(change *configuration.Change, version configuration.Version, tries int) {
+// recordApplied records a change that could have been confirmed.
+func (s *configureSim) recordApplied(change *configuration.Change, version configuration.Version, tries int) {
 	id := change.ID
 	if change.IfVersion != nil {
 		replaced := fmt.Sprintf("%s at %v", change.Service, *change.IfVersion)
@@ -160,17 +161,17 @@
 		s.fail("version %v was given to %s and to %s", version, was, id)
 	}
 	if tries > 1 {
-		s.repeated++
+		s.retried++
 	}
 	s.applied++
 	s.versions[id], s.ids[version] = version, id
 	s.newest = max(s.newest, version)
 }
 
-// read asks any member what a majority knows: it lacks nothing of what anybody was
-// told before.
+// read reads from any member: a confirmed read has all that could have been confirmed
+// before it.
 func (s *configureSim) read(m *simMember) {
-	if !s.up(m) {
+	if !s.running(m) {
 		return
 	}
 	least, member := s.newest, m.m
@@ -183,18 +184,18 @@
 			s.followerReads++
 		}
 		if got := member.State().ConfigurationStore().Version; got < least {
-			s.fail("member %d read version %v, wanted %v at least, which somebody was told before", m.id, got, least)
+			s.fail("member %d read version %v, wanted %v at least, which was confirmed before", m.id, got, least)
 		}
 	})
 }
 
-// settle ends all trouble and awaits that all members have applied the same.
+// settle ends all faults and waits until all members have applied the same entries.
 func (s *configureSim) settle() {
 	for range 2000 {
 		s.step++
 		clear(s.cut)
 		for _, m := range s.members {
-			m.awake = 0
+			m.resumesAt = 0
 			s.runMember(m)
 		}
 		s.deliver()
@@ -202,10 +203,10 @@
 			return
 		}
 	}
-	s.fail("the members do not come to the same without trouble")
+	s.fail("the members do not converge without faults")
 }
 
-// settled tells whether one leads and all have applied all that it has.
+// settled reports whether there is a leader and all members have applied its log.
 func (s *configureSim) settled() bool {
 	var applied uint64
 	leads := false
@@ -214,7 +215,7 @@
 		if i == 0 {
 			applied = index
 		}
-		if index != applied || commit != applied || m.m.Leader() == 0 || m.output != nil {
+		if index != applied || commit != applied || m.m.Leader() == 0 || m.pendingReady != nil {
 			return false
 		}
 		leads = leads || m.m.IsLeader() && m.m.State().ConfigurationStore().Version >= s.newest
@@ -222,10 +223,10 @@
 	return leads
 }
 
-// Changes under crashes, stops, cuts and lost answers: none that was told is lost,
-// none is applied twice, no version is given or replaced twice, and no member's confirmed read
-// lacks what somebody was told before.
-func TestVirtualConfiguration(t *testing.T) {
+// Under crashes, suspensions, partitions and lost responses no confirmed change is lost
+// or applied twice, no version is issued or replaced twice, and no confirmed read lacks
+// a change that was confirmed before it.
+func TestSimulatedConfiguration(t *testing.T) {
 	reader := crand.Reader
 	defer func() { crand.Reader = reader }()
 	sum := configureSim{}
@@ -239,18 +240,18 @@
 			s.check(m)
 		}
 		sum.applied += s.applied
-		sum.repeated += s.repeated
+		sum.retried += s.retried
 		sum.conflicts += s.conflicts
 		sum.reads += s.reads
 		sum.followerReads += s.followerReads
 	}
-	t.Logf("%d seeds from %d: applied=%d repeated=%d conflicts=%d reads=%d by followers=%d", seeds, *simFirst, sum.applied, sum.repeated, sum.conflicts, sum.reads, sum.followerReads)
-	if sum.applied < 10*seeds || sum.repeated < seeds || sum.conflicts < seeds || sum.followerReads < 10*seeds {
+	t.Logf("%d seeds from %d: applied=%d repeated=%d conflicts=%d reads=%d by followers=%d", seeds, *simFirst, sum.applied, sum.retried, sum.conflicts, sum.reads, sum.followerReads)
+	if sum.applied < 10*seeds || sum.retried < seeds || sum.conflicts < seeds || sum.followerReads < 10*seeds {
 		t.Error("too little took place to show anything")
 	}
 }
 
-// check holds a member's state against what anybody was told.
+// check compares a member's state with what was confirmed.
 func (s *configureSim) check(m *simMember) {
 	store := m.m.State().ConfigurationStore()
 	if store.Version < s.newest {
@@ -270,9 +271,9 @@
 	}
 }
 
-// A member of version 1 beside two of version 2: a change is held back, and nothing
-// is agreed on, until that one can apply it.
-func TestConfigureIsHeldBackByOneMember(t *testing.T) {
+// With a member of version 1 beside two of version 2 a change is rejected, and nothing is
+// committed, until that member supports it.
+func TestChangeNeedsSupportOfEachMember(t *testing.T) {
 	reader := crand.Reader
 	defer func() { crand.Reader = reader }()
 	s := newSim(t, 1, 3)
@@ -293,7 +294,7 @@
 				return result
 			}
 			for _, m := range s.members {
-				if m.m.IsLeader() && s.step%simAnswerSteps == 0 {
+				if m.m.IsLeader() && s.step%simRetrySteps == 0 {
 					m.m.Propose(c, func(r Result, err error) {
 						result, done = r, err == nil
 					})
@@ -307,7 +308,7 @@
 		propose(Command{Kind: AdvertiseVersion, Member: member, Token: version})
 	}
 	if r := propose(command); r.Rejection == "" {
-		t.Errorf("beside a member of version 1: %+v, wanted it held back", r)
+		t.Errorf("beside a member of version 1: %+v, wanted a rejection", r)
 	}
 	for _, m := range s.members {
 		if m.m.State().Configuration != nil {
@@ -316,18 +317,18 @@
 	}
 	propose(Command{Kind: AdvertiseVersion, Member: 3, Token: 2})
 	if r := propose(command); r.Rejection != "" || r.Version == 0 {
-		t.Errorf("all can: %+v, wanted a version", r)
+		t.Errorf("all members support it: %+v, wanted a version", r)
 	}
 }
 
-// A leader's answer to a read of before a restart does not confirm one of after it,
-// though both bear the same number.
-func TestReadOfBeforeARestart(t *testing.T) {
+// A leader's confirmation of a read of before a restart does not confirm one of after
+// it, though both have the same ID.
+func TestReadOfEarlierIncarnation(t *testing.T) {
 	reader := crand.Reader
 	defer func() { crand.Reader = reader }()
 	s := newSim(t, 1, 3)
-	cutOff := uint64(0) // member to which nothing comes
-	var held *raftpb.Message
+	cutOff := uint64(0) // member that gets no messages
+	var delayed *raftpb.Message
 	until := func(what string, done func() bool) {
 		t.Helper()
 		for range 2000 {
@@ -338,12 +339,12 @@
 			for _, m := range s.members {
 				s.runMember(m)
 			}
-			for _, l := range s.mail {
-				if l.msg.GetType() == raftpb.MsgReadIndexResp && held == nil {
-					held = l.msg
+			for _, l := range s.inFlight {
+				if l.msg.GetType() == raftpb.MsgReadIndexResp && delayed == nil {
+					delayed = l.msg
 				}
 			}
-			s.mail = slices.DeleteFunc(s.mail, func(l letter) bool { return l.msg.GetTo() == cutOff || l.msg == held })
+			s.inFlight = slices.DeleteFunc(s.inFlight, func(l delayedMessage) bool { return l.msg.GetTo() == cutOff || l.msg == delayed })
 			s.deliver()
 		}
 		t.Fatal("found no " + what)
@@ -362,24 +363,24 @@
 	})
 	follower = s.members[leader.id%3]
 	follower.m.FollowerRead(func(err error) { t.Errorf("the read of before the restart has ended: %v", err) })
-	until("answer to a read", func() bool { return held != nil })
+	until("answer to a read", func() bool { return delayed != nil })
 
-	follower.m, follower.output = nil, nil
+	follower.m, follower.pendingReady = nil, nil
 	until("follower that knows the leader again", func() bool { return follower.m != nil && follower.m.Leader() == leader.id })
 	cutOff = follower.id
 	agreed := false
-	leader.m.Propose(Command{Kind: AcquireLease, Subject: "h1", Lease: duty}, func(r Result, err error) { agreed = err == nil && r.Rejection == "" })
-	until("owner of the duty", func() bool { return agreed })
+	leader.m.Propose(Command{Kind: AcquireLease, Subject: "h1", Lease: testLease}, func(r Result, err error) { agreed = err == nil && r.Rejection == "" })
+	until("holder of the lease", func() bool { return agreed })
 	follower.m.FollowerRead(func(err error) {
-		if err == nil && follower.m.State().Leases[duty] == nil {
-			t.Error("a read is confirmed without what was agreed on before it")
+		if err == nil && follower.m.State().Leases[testLease] == nil {
+			t.Error("a read is confirmed without what was committed before it")
 		}
 	})
-	if err := follower.m.Step(held); err != nil {
+	if err := follower.m.Step(delayed); err != nil {
 		t.Fatal(err)
 	}
 	if out, ok := follower.m.Ready(); ok {
-		follower.keep(out)
+		follower.store(out)
 		if err := follower.m.Advance(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/coordination/state.go
+++ b/internal/fleet/coordination/state.go
@@ -118,7 +118,7 @@
 }
 
 // WithoutConfiguration returns a copy that shares nothing with the state and lacks the
-// configuration, which is large and has requests of its own.
+// configuration, which is large and has separate requests.
 func (s *State) WithoutConfiguration() *State {
 	c := *s
 	c.Configuration = nil
--- a/internal/lab/rig/council.go
+++ b/internal/lab/rig/council.go
@@ -177,7 +177,7 @@
 	endsLine    = regexp.MustCompile(`council: \S+ ends epoch (\d+)\.(\d+) of roll: .*\(over for ([0-9a-zµ.]+)\)`)
 	takesLine   = regexp.MustCompile(`takes (?:restart|reload) of (\S+) for order (\S+) of (\S+), epoch (\d+)\.(\d+)`)
 	hearsLine   = regexp.MustCompile(`hears of (roll|list:\S*): (\S+) owns it, epoch (\d+)\.(\d+)`)
-	refusesLine = regexp.MustCompile(`refused: (\S+) of epoch (\d+)\.(\d+) of (\S+): .*(?:a late owner|two councils|this receiver has just started)`)
+	refusesLine = regexp.MustCompile(`refused: (\S+) of epoch (\d+)\.(\d+) of (\S+): .*(?:a late owner|stale token|two councils|two clusters issued the token|this receiver has just started)`)
 )
 
 func epochOf(space, number string) uint64 {
