--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -228,7 +228,7 @@
 		{[]string{"put", "-if-version", "0", mail}, exitConflict, "service mail: found version 1.2, wanted 0.0"},
 		{[]string{"put", r.settingsFile("none.toml", "none", "x")}, exitFailed, "service none: found no such service"},
 		{[]string{"put", bad}, exitFailed, "bad.toml:4: tenant[1].quota_per_s: found -1, wanted 0 to 1e9"},
-		{[]string{"put", roll}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, and a roll"},
+		{[]string{"put", roll}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart"},
 		{[]string{"put", unknown}, exitFailed, "unknown.toml:2: shares: found a key that is not known"},
 		{[]string{"put", large}, exitFailed, "wanted 8192 at most"},
 		{[]string{"put", filepath.Join(r.folder, "absent.toml")}, exitFailed, "no such file"},
@@ -483,8 +483,8 @@
 		r.t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var answer configuration.PollAnswer
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Refusal != "" {
+	var answer configuration.PollResponse
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.ErrorCode != "" {
 		r.t.Fatalf("%s: %+v, %v", p.Subscriber, answer, err)
 	}
 }
@@ -494,16 +494,16 @@
 func TestStatusOf(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
 	subscriber := func(name string, version configuration.Version, silent time.Duration) configuration.SubscriberStatus {
-		return configuration.SubscriberStatus{Subscriber: name, Version: version, SilentMS: silent.Milliseconds()}
+		return configuration.SubscriberStatus{Subscriber: name, Version: version, SinceLastPollMS: silent.Milliseconds()}
 	}
-	near := &configuration.StatusAnswer{Subscribers: []configuration.SubscriberStatus{
+	near := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
 		subscriber("moved", version, time.Second), subscriber("gone", version-1, 2*time.Minute),
 	}}
 	rejects := subscriber("rejects", version+1, 0)
-	rejects.Rejected, rejects.Reason = version, "two\nlines"
+	rejects.RejectedVersion, rejects.Reason = version, "two\nlines"
 	rejectedBefore := subscriber("rejected-before", version, 0)
-	rejectedBefore.Rejected = version - 1
-	far := &configuration.StatusAnswer{Subscribers: []configuration.SubscriberStatus{
+	rejectedBefore.RejectedVersion = version - 1
+	far := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
 		subscriber("moved", version-1, 3*time.Second), rejects, rejectedBefore,
 	}}
 	for i := range maxNamedOfAKind + 4 {
--- a/internal/fleet/coordination/apply.go
+++ b/internal/fleet/coordination/apply.go
@@ -190,5 +190,5 @@
 	for _, lease := range s.Leases {
 		lease.Holder = ""
 	}
-	s.mutableConfiguration().BeginSpace(s.TokenSpace)
+	s.mutableConfiguration().StartTokenSpace(s.TokenSpace)
 }
--- a/internal/fleet/coordination/configuration.go
+++ b/internal/fleet/coordination/configuration.go
@@ -14,7 +14,7 @@
 // NewConfigurationChange returns the command for a change. Its error says why no
 // cluster can apply the change, whatever its configuration is.
 func NewConfigurationChange(change configuration.Change) (Command, error) {
-	if err := change.Check(); err != nil {
+	if err := change.Validate(); err != nil {
 		return Command{}, err
 	}
 	data, err := json.Marshal(change)
@@ -36,7 +36,7 @@
 // DryRunConfigurationChange returns what a command of kind ChangeConfiguration would
 // come to now. The state does not change.
 func (s *State) DryRunConfigurationChange(command Command) Result {
-	trial := State{TokenSpace: s.TokenSpace, Configuration: s.ConfigurationStore().Copy()}
+	trial := State{TokenSpace: s.TokenSpace, Configuration: s.ConfigurationStore().Clone()}
 	return trial.applyConfigurationChange(command)
 }
 
@@ -73,6 +73,6 @@
 	}
 	s.TokenSpace = space
 	if s.Configuration != nil { // members of version 1 have none, and must not diverge
-		s.Configuration.BeginSpace(space)
+		s.Configuration.StartTokenSpace(space)
 	}
 }
--- a/internal/fleet/coordination/configuration_test.go
+++ b/internal/fleet/coordination/configuration_test.go
@@ -252,7 +252,7 @@
 				t.Errorf("%s: version %v, wanted one newer than %v", name, resource.Version, lost)
 			}
 		}
-		if update := store.Since(lost); !update.Snapshot() || len(update.Resources) != services {
+		if update := store.UpdateSince(lost); !update.IsSnapshot() || len(update.Resources) != services {
 			t.Errorf("since %v: %+v, wanted a snapshot", lost, update)
 		}
 	}
@@ -269,11 +269,11 @@
 	}
 	first := applyChange(t, s, create("a", "mail", json.RawMessage(`{}`))).Version
 	s.Apply(Command{Kind: AdvanceToken, Lease: testLease, Token: 2<<32 + 9})
-	if got := s.ConfigurationStore().Version; got != first || first.Space() != 2 {
+	if got := s.ConfigurationStore().Version; got != first || first.TokenSpace() != 2 {
 		t.Errorf("after a token within the space: version %v, wanted %v", got, first)
 	}
 	s.Apply(Command{Kind: AdvanceToken, Lease: testLease, Token: 7<<32 + 9})
-	if got := s.ConfigurationStore().Resources["mail"].Version; got.Space() != 7 {
+	if got := s.ConfigurationStore().Resources["mail"].Version; got.TokenSpace() != 7 {
 		t.Errorf("after a token of a greater space: version %v, wanted one of space 7", got)
 	}
 }
@@ -309,7 +309,7 @@
 		mustApply(applyChange(t, s, create(wide(i), wide(i), json.RawMessage(`{}`))))
 	}
 	const remembered = 4096
-	settings := settingsOf(configuration.MaxTotalBytes / configuration.MaxServices)
+	settings := settingsOf(configuration.MaxTotalSettingsBytes / configuration.MaxServices)
 	for i := range remembered {
 		change := configuration.Change{ID: wide(1000 + i), Service: wide(i % configuration.MaxServices), Settings: json.RawMessage(`{}`)}
 		if i >= remembered-configuration.MaxServices { // only the last ones are large, to save time
@@ -319,15 +319,15 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.Configuration.Remembered); n != remembered {
+	if n := len(s.Configuration.RecentChanges); n != remembered {
 		t.Errorf("%d changes are remembered, wanted %d", n, remembered)
 	}
 	total := 0
 	for _, resource := range s.Configuration.Resources {
 		total += len(resource.Settings)
 	}
-	if total < configuration.MaxTotalBytes*95/100 {
-		t.Errorf("%d bytes of settings, wanted about %d", total, configuration.MaxTotalBytes)
+	if total < configuration.MaxTotalSettingsBytes*95/100 {
+		t.Errorf("%d bytes of settings, wanted about %d", total, configuration.MaxTotalSettingsBytes)
 	}
 	data, err := EncodeSnapshot(s)
 	if err != nil {
@@ -396,7 +396,7 @@
 		b.Run(name, func(b *testing.B) {
 			defer reportCPU(b)()
 			for b.Loop() {
-				if update := s.ConfigurationStore().Since(from); len(update.Resources) == 0 {
+				if update := s.ConfigurationStore().UpdateSince(from); len(update.Resources) == 0 {
 					b.Fatal("found no update")
 				}
 			}
--- a/internal/fleet/coordination/server/configuration.go
+++ b/internal/fleet/coordination/server/configuration.go
@@ -75,7 +75,7 @@
 func (s *Server) watchConfiguration(pending *pendingCall) {
 	s.member.FollowerRead(func(err error) {
 		if err == nil {
-			update := s.member.State().ConfigurationStore().Since(pending.request.Version)
+			update := s.member.State().ConfigurationStore().UpdateSince(pending.request.Version)
 			pending.response.Update = &update
 		}
 		s.replyError(pending, err)
--- a/internal/fleet/coordination/server/configuration_test.go
+++ b/internal/fleet/coordination/server/configuration_test.go
@@ -82,7 +82,7 @@
 	held := first.Resource.Version
 	var polls sync.WaitGroup
 	for i := 1; i <= 3; i++ {
-		if u := w.poll(i, 0, 0, hasUpdate).Update; !u.Snapshot() || len(u.Resources) != 1 {
+		if u := w.poll(i, 0, 0, hasUpdate).Update; !u.IsSnapshot() || len(u.Resources) != 1 {
 			t.Errorf("member %d: %+v, wanted a snapshot of one service", i, u)
 		}
 		if u := w.poll(i, held, 1, hasUpdate).Update; len(u.Resources) != 0 || u.Version != held {
@@ -90,7 +90,7 @@
 		}
 		polls.Go(func() {
 			newer := func(a *client.Response) bool { return a.Update != nil && a.Update.Version > held }
-			if u := w.poll(i, held, 2000, newer).Update; u.Snapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
+			if u := w.poll(i, held, 2000, newer).Update; u.IsSnapshot() || len(u.Resources) != 1 || u.Resources[0].Service != "post" {
 				t.Errorf("member %d: %+v, wanted only what is new", i, u)
 			}
 		})
--- a/internal/fleet/coordination/simulation_configuration_test.go
+++ b/internal/fleet/coordination/simulation_configuration_test.go
@@ -258,7 +258,7 @@
 		s.fail("member %d has version %v, wanted %v at least", m.id, store.Version, s.newest)
 	}
 	seen := map[string]configuration.Version{}
-	for _, remembered := range store.Remembered {
+	for _, remembered := range store.RecentChanges {
 		if was, twice := seen[remembered.ID]; twice {
 			s.fail("change %s was applied twice: as %v and as %v", remembered.ID, was, remembered.Version)
 		}
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -131,7 +131,7 @@
 // council that was restored has a new number, too, and versions of a newer space.
 func (f *follower) checkCouncil(address string, answer *client.Response) error {
 	held, _ := f.feed.state()
-	if f.council == "" || answer.Cluster == f.council || answer.Update.Version.Space() > held.Space() {
+	if f.council == "" || answer.Cluster == f.council || answer.Update.Version.TokenSpace() > held.TokenSpace() {
 		return nil
 	}
 	return f.foreign(address, answer.Cluster, f.council)
