--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -338,9 +338,9 @@
 
 	// What the programs share.
 	{Name: "log-unbounded", File: "internal/logs/logs.go", Breaks: "a fault without end fills the log",
-		Old: "if c.said >= t.opt.Burst {", New: "if c.said < 0 {"},
+		Old: "if c.written >= l.options.Burst {", New: "if c.written < 0 {"},
 	{Name: "causes-unbounded", File: "internal/logs/logs.go", Breaks: "the table of causes grows without end",
-		Old: "\tif len(t.causes) >= mostCauses {\n\t\tname = \"\"\n\t}\n", New: ""},
+		Old: "\tif len(l.causes) >= maxCauses {\n\t\tname = otherCauses\n\t}\n", New: ""},
 	{Name: "open-socket", File: "internal/unixsocket/unixsocket.go", Breaks: "every user may speak to a control socket",
 		Old: "0o600) })", New: "0o666) })"},
 	{Name: "mask-of-all", File: "internal/unixsocket/unixsocket.go", Breaks: "files written while a socket is bound lose their bits",
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs makes the programs' loggers: lines of key=value or JSON by
-// log/slog, with a bound on how often one cause is said. It links nothing but
-// the standard library, since the sidecar has it, too.
+// Package logs makes the programs' loggers: lines of key=value or JSON by log/slog, with
+// a bound on the lines of one cause. It links nothing but the standard library, since
+// the sidecar has it, too.
 package logs
 
 import (
@@ -16,54 +16,67 @@
 	"otterspring/internal/wallclock"
 )
 
-// Options say what lines look like and which are written.
+// Options define the form of lines and which of them are written.
 type Options struct {
 	JSON  bool
 	Level slog.Level
-	// Burst lines of one cause are written within Every; further ones are counted
-	// and told with the next that is. 0 takes 5 within 10 s.
+	// Burst lines of one cause are written within Every; further ones are suppressed,
+	// and their number is added to the next that is written. 0 takes 5 within 10 s.
 	Burst int
 	Every time.Duration
 }
 
-// mostCauses bounds the causes that are told apart. What comes beyond them
-// counts as one cause of its own, so that nothing that callers do makes the
-// table grow.
-const mostCauses = 256
+// The defaults of Options.
+const (
+	defaultBurst = 5
+	defaultEvery = 10 * time.Second
+)
+
+// maxCauses bounds the causes that are distinguished. Those beyond them count as one
+// cause, so that the table can't grow without bound.
+const maxCauses = 256
+
+// otherCauses is the name of the causes beyond maxCauses.
+const otherCauses = ""
 
-// New returns a logger that writes to w, one whole line at a time.
-func New(w io.Writer, o Options) *slog.Logger {
-	if o.Burst == 0 {
-		o.Burst = 5
+// suppressedKey is the key of the number of lines that were suppressed before a line.
+const suppressedKey = "suppressed"
+
+// New returns a logger that writes to w, one complete line at a time.
+func New(w io.Writer, options Options) *slog.Logger {
+	if options.Burst == 0 {
+		options.Burst = defaultBurst
 	}
-	if o.Every == 0 {
-		o.Every = 10 * time.Second
+	if options.Every == 0 {
+		options.Every = defaultEvery
 	}
-	opt := &slog.HandlerOptions{Level: o.Level}
-	var under slog.Handler = slog.NewTextHandler(w, opt)
-	if o.JSON {
-		under = slog.NewJSONHandler(w, opt)
+	handlerOptions := &slog.HandlerOptions{Level: options.Level}
+	var next slog.Handler = slog.NewTextHandler(w, handlerOptions)
+	if options.JSON {
+		next = slog.NewJSONHandler(w, handlerOptions)
 	}
-	return slog.New(&handler{under: under, table: &table{opt: o, causes: map[string]*cause{}}})
+	return slog.New(&handler{next: next, limiter: &limiter{options: options, causes: map[string]*cause{}}})
 }
 
-const causeKey = "cause\x00"
+// CauseKey is the key under which a line names its cause for the bound, where lines of
+// one message have several causes or lines of several messages have one. The attribute
+// is not written. Without it the message is the cause.
+const CauseKey = "cause\x00"
 
-// Cause names what a line is said for, where its message differs from line to
-// line. It is not written. Without one the message is the cause.
-func Cause(name string) slog.Attr { return slog.String(causeKey, name) }
+// Cause returns the attribute that names a cause.
+func Cause(name string) slog.Attr { return slog.String(CauseKey, name) }
 
-// Flags adds -log-format and -log-level to a program's flags. They hold once the
-// flags have been parsed.
-func (o *Options) Flags(f *flag.FlagSet) {
-	f.Func("log-format", "lines of the log: text (key=value) or json", func(s string) error {
+// Flags adds -log-format and -log-level to a program's flags. The options are set once
+// the flags have been parsed.
+func (o *Options) Flags(flags *flag.FlagSet) {
+	flags.Func("log-format", "lines of the log: text (key=value) or json", func(s string) error {
 		if s != "text" && s != "json" {
 			return fmt.Errorf("wanted text or json")
 		}
 		o.JSON = s == "json"
 		return nil
 	})
-	f.Func("log-level", "least level of the log: debug, info, warn or error", func(s string) error {
+	flags.Func("log-level", "least level of the log: debug, info, warn or error", func(s string) error {
 		if !slices.Contains([]string{"debug", "info", "warn", "error"}, s) {
 			return fmt.Errorf("wanted debug, info, warn or error")
 		}
@@ -71,97 +84,101 @@
 	})
 }
 
-// table counts the lines by cause, for a logger and those made from it.
-type table struct {
-	opt    Options
-	mu     sync.Mutex
-	causes map[string]*cause
+// limiter counts the lines by cause, for a logger and those derived from it. It is safe
+// for concurrent use; mu guards the causes and what they point to.
+type limiter struct {
+	options Options
+	mu      sync.Mutex
+	causes  map[string]*cause
 }
 
 type cause struct {
-	since time.Time // start of its present stretch
-	said  int       // lines written in it
-	left  int       // lines left out since the last that was written
+	since      time.Time // start of its current interval
+	written    int       // lines in the interval
+	suppressed int       // lines since the last that was written
 }
 
-// take tells whether a line of a cause may be written now, and how many were
-// left out before it.
-func (t *table) take(name string, now time.Time) (write bool, left int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := t.causes[name]
+// admit reports whether a line of a cause may be written now, and how many were
+// suppressed before it.
+func (l *limiter) admit(name string, now time.Time) (write bool, suppressed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.causes[name]
 	if c == nil {
-		c = t.enter(name, now)
+		c = l.add(name, now)
 	}
-	// Lines of several goroutines come out of order: only a clock that was set back
-	// by more than a stretch begins another.
-	if now.Sub(c.since) >= t.opt.Every || c.since.Sub(now) >= t.opt.Every {
-		c.since, c.said = now, 0
+	// Lines of several goroutines arrive out of order: only a clock that was set back by
+	// more than an interval begins another.
+	if now.Sub(c.since) >= l.options.Every || c.since.Sub(now) >= l.options.Every {
+		c.since, c.written = now, 0
 	}
-	if c.said >= t.opt.Burst {
-		c.left++
+	if c.written >= l.options.Burst {
+		c.suppressed++
 		return false, 0
 	}
-	c.said++
-	left, c.left = c.left, 0
-	return true, left
+	c.written++
+	suppressed, c.suppressed = c.suppressed, 0
+	return true, suppressed
 }
 
-// enter makes an entry for a cause: in place of one that has nothing left to
-// tell, or in the one for all others where there is none.
-func (t *table) enter(name string, now time.Time) *cause {
-	if len(t.causes) >= mostCauses {
-		for n, c := range t.causes {
-			if c.left == 0 && now.Sub(c.since) >= t.opt.Every {
-				delete(t.causes, n)
+// add adds a cause. If there are too many, those whose interval is over and that have
+// no suppressed lines are removed, and if that frees none it returns the one of
+// otherCauses.
+func (l *limiter) add(name string, now time.Time) *cause {
+	if len(l.causes) >= maxCauses {
+		for other, c := range l.causes {
+			if c.suppressed == 0 && now.Sub(c.since) >= l.options.Every {
+				delete(l.causes, other)
 			}
 		}
 	}
-	if len(t.causes) >= mostCauses {
-		name = ""
+	if len(l.causes) >= maxCauses {
+		name = otherCauses
 	}
-	if c := t.causes[name]; c != nil {
+	if c := l.causes[name]; c != nil {
 		return c
 	}
 	c := &cause{since: now}
-	t.causes[name] = c
+	l.causes[name] = c
 	return c
 }
 
-// handler bounds what passes to the one under it.
+// handler bounds the lines that reach the next handler.
 type handler struct {
-	under slog.Handler
-	table *table
+	next    slog.Handler
+	limiter *limiter
 }
 
-func (h *handler) Enabled(ctx context.Context, l slog.Level) bool { return h.under.Enabled(ctx, l) }
+func (h *handler) Enabled(ctx context.Context, level slog.Level) bool {
+	return h.next.Enabled(ctx, level)
+}
 
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &handler{h.under.WithAttrs(attrs), h.table}
+	return &handler{h.next.WithAttrs(attrs), h.limiter}
 }
 
 func (h *handler) WithGroup(name string) slog.Handler {
-	return &handler{h.under.WithGroup(name), h.table}
+	return &handler{h.next.WithGroup(name), h.limiter}
 }
 
-// Handle writes a line or leaves it out.
-func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	name := r.Message
-	out := slog.NewRecord(wallclock.Now(), r.Level, r.Message, r.PC)
-	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == causeKey {
-			name = a.Value.String()
+// Handle writes a line or suppresses it.
+func (h *handler) Handle(ctx context.Context, record slog.Record) error {
+	name := record.Message
+	out := slog.NewRecord(wallclock.Now(), record.Level, record.Message, record.PC)
+	record.Attrs(func(attr slog.Attr) bool {
+		if attr.Key == CauseKey {
+			name = attr.Value.String()
 		} else {
-			out.AddAttrs(a)
+			out.AddAttrs(attr)
 		}
 		return true
 	})
-	write, left := h.table.take(name, r.Time)
+	write, suppressed := h.limiter.admit(name, record.Time)
 	if !write {
 		return nil
 	}
-	if left > 0 {
-		out.AddAttrs(slog.Int("left_out", left))
+	if suppressed > 0 {
+		out.AddAttrs(slog.Int(suppressedKey, suppressed))
 	}
-	return h.under.Handle(ctx, out)
+	return h.next.Handle(ctx, out)
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -18,9 +18,8 @@
 	return strings.Split(strings.TrimSpace(b.String()), "\n")
 }
 
-// A cause that is said without end is written so often and no more, and the
-// next line that is written tells how many were left out. Another cause is not
-// held back by it.
+// The lines of one cause are written up to the burst, and the next line that is written
+// has the number of those that were suppressed. Another cause is not affected.
 func TestOneCauseIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
@@ -35,50 +34,51 @@
 		}
 		time.Sleep(10 * time.Second)
 		log.Warn("discovery failed", "why", "again")
-		if got := lines(&b); len(got) != 5 || !strings.Contains(got[4], "left_out=997") {
+		if got := lines(&b); len(got) != 5 || !strings.Contains(got[4], "suppressed=997") {
 			t.Fatalf("the next line: %s", got[len(got)-1])
 		}
 		log.Warn("discovery failed", "why", "again")
-		if got := lines(&b); strings.Contains(got[len(got)-1], "left_out") {
-			t.Fatalf("told twice: %s", got[len(got)-1])
+		if got := lines(&b); strings.Contains(got[len(got)-1], "suppressed") {
+			t.Fatalf("counted twice: %s", got[len(got)-1])
 		}
 	})
 }
 
-// Messages that differ are one cause where it is named, and the name is not
+// Lines of several messages are one cause where it is named, and the name is not
 // written.
 func TestNamedCause(t *testing.T) {
 	var b bytes.Buffer
 	log := New(&b, Options{Burst: 2, Every: time.Hour})
-	for i := range 10 {
-		log.Info(fmt.Sprintf("line %d", i), Cause("lines"))
+	for range 5 {
+		log.Info("one", CauseKey, "lines")
+		log.Info("another", CauseKey, "lines")
 	}
 	if got := lines(&b); len(got) != 2 || strings.Contains(b.String(), "cause") {
 		t.Fatalf("%s", &b)
 	}
 }
 
-// However many causes there are, the table stays within its bound, and what is
-// beyond it is bounded, too.
+// However many causes there are, the table stays within its bound, and the lines of
+// causes beyond it are bounded, too.
 func TestManyCauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
 		log := New(&b, Options{Burst: 1, Every: time.Minute})
 		for i := range 10_000 {
-			log.Info(fmt.Sprint("cause ", i))
+			log.Info("message", CauseKey, fmt.Sprint("cause ", i))
 		}
-		tab := log.Handler().(*handler).table
-		if n := len(tab.causes); n > mostCauses+1 {
-			t.Errorf("%d causes are held", n)
+		limiter := log.Handler().(*handler).limiter
+		if n := len(limiter.causes); n > maxCauses+1 {
+			t.Errorf("%d causes are remembered", n)
 		}
-		if n := len(lines(&b)); n != mostCauses+1 {
-			t.Errorf("%d lines, want %d", n, mostCauses+1)
+		if n := len(lines(&b)); n != maxCauses+1 {
+			t.Errorf("%d lines, want %d", n, maxCauses+1)
 		}
-		// Those that are over make room.
+		// Those whose interval is over are replaced.
 		time.Sleep(time.Minute)
 		log.Info("cause of tomorrow")
-		if _, ok := tab.causes["cause of tomorrow"]; !ok {
-			t.Error("old causes leave no room for a new one")
+		if _, ok := limiter.causes["cause of tomorrow"]; !ok {
+			t.Error("old causes are not replaced by a new one")
 		}
 	})
 }
@@ -95,7 +95,11 @@
 	log := New(&b, o)
 	log.Info("not written")
 	log.Warn("written", "server", "s1")
-	var got struct{ Level, Msg, Server string }
+	var got struct {
+		Level  string `json:"level"`
+		Msg    string `json:"msg"`
+		Server string `json:"server"`
+	}
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.Level != "WARN" || got.Server != "s1" {
 		t.Errorf("%s: %v", &b, err)
 	}
@@ -109,8 +113,8 @@
 	}
 }
 
-// Goroutines that log at once write whole lines, and as many as they may.
-func TestAtOnce(t *testing.T) {
+// Goroutines that log concurrently write complete lines, as many as the burst.
+func TestConcurrentLines(t *testing.T) {
 	var mu sync.Mutex
 	var b bytes.Buffer
 	log := New(writer(func(p []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return b.Write(p) }), Options{Burst: 7, Every: time.Hour})
@@ -118,7 +122,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 50 {
-				log.Log(t.Context(), slog.LevelInfo, "at once")
+				log.Log(t.Context(), slog.LevelInfo, "concurrent")
 			}
 		})
 	}
