--- a/internal/lab/virtual/registry.go
+++ b/internal/lab/virtual/registry.go
@@ -227,7 +227,7 @@
 	r.peak = max(r.peak, r.inSecond)
 }
 
-// move mirrors internal/discovery: it turns to another address of discovery, which is down for a while. The
+// move mirrors internal/sidecar/discovery: it turns to another address of discovery, which is down for a while. The
 // call to the old one ends; the next asks for the whole list.
 func (p *process) move(down time.Duration) {
 	w := p.inst.w
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/discovery"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/lab/cost"
+	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
 )
@@ -55,7 +55,7 @@
 // capacityListed is a dispatcher that was told a whole list.
 func capacityListed(b *testing.B, warmKeys bool, text []byte) *dispatch.Dispatcher {
 	b.Helper()
-	list, err := discovery.ParseText(text)
+	list, err := discovery.Parse(text)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	for _, warmKeys := range []bool{false, true} {
 		for _, servers := range capacitySizes {
 			b.Run(fmt.Sprintf("keys=%t/servers=%d", warmKeys, servers), func(b *testing.B) {
-				list, err := discovery.ParseText(capacityList(servers))
+				list, err := discovery.Parse(capacityList(servers))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,8 +14,8 @@
 
 	"otterspring/balance"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/discovery"
 	"otterspring/internal/disk"
+	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
 )
@@ -91,7 +91,7 @@
 		return Config{}, fmt.Errorf("limits.sockets: found %d, wanted %d or more", cfg.Sockets, leastSockets)
 	}
 	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if cfg.Known, err = discovery.Parse(known, coapupstream.Scheme); err != nil {
+		if cfg.Known, err = discovery.ParseValue(known, coapupstream.Scheme); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/membership/trace_test.go
+++ b/internal/sidecar/discovery/drain/trace_test.go
@@ -1,4 +1,4 @@
-package membership
+package drain
 
 import (
 	"flag"
@@ -19,24 +19,24 @@
 	var trace strings.Builder
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		var drains Drains
-		now, index := time.Duration(0), int64(0)
+		var tracker Tracker
+		now, version := time.Duration(0), int64(0)
 		for range 60 {
 			now += time.Duration(rng.IntN(20)) * time.Second
 			if rng.IntN(12) == 0 {
-				drains.Moved(now)
-				index = int64(rng.IntN(5))
+				tracker.DiscoveryMoved(now)
+				version = int64(rng.IntN(5))
 				trace.WriteString("moved\n")
 			}
-			index = max(0, index+int64(rng.IntN(4))-1)
-			full := rng.IntN(3) == 0
-			entries := make([]Entry, rng.IntN(5))
-			for i := range entries {
-				entries[i] = Entry{Name: fmt.Sprint("s", rng.IntN(6)), Since: int64(rng.IntN(3)), State: State(rng.IntN(3))}
+			version = max(0, version+int64(rng.IntN(4))-1)
+			snapshot := rng.IntN(3) == 0
+			servers := make([]Server, rng.IntN(5))
+			for i := range servers {
+				servers[i] = Server{Name: fmt.Sprint("s", rng.IntN(6)), StartedMillis: int64(rng.IntN(3)), State: State(rng.IntN(3))}
 			}
-			fmt.Fprintf(&trace, "%v %d %t %v", now, index, full, entries)
-			drains.Take(now, index, full, entries)
-			fmt.Fprintf(&trace, " -> %v %d\n", entries, drains.Held())
+			fmt.Fprintf(&trace, "%v %d %t %v", now, version, snapshot, servers)
+			tracker.Apply(now, version, snapshot, servers)
+			fmt.Fprintf(&trace, " -> %v %d\n", servers, tracker.Len())
 		}
 	}
 	path := filepath.Join("testdata", "decisions.txt")
--- /dev/null
+++ b/internal/sidecar/discovery/drain/tracker_test.go
@@ -0,0 +1,102 @@
+package drain
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func one(name string, startedMillis int64, state State) []Server {
+	return []Server{{name, startedMillis, state}}
+}
+
+// step is a list, or a move, and the state that the server has after it.
+type step struct {
+	at       time.Duration
+	move     bool
+	version  int64
+	snapshot bool
+	servers  []Server
+	want     State
+}
+
+func TestDrains(t *testing.T) {
+	snapshot := func(version int64, startedMillis int64, state, want State) step {
+		return step{version: version, snapshot: true, servers: one("a", startedMillis, state), want: want}
+	}
+	delta := func(version int64, startedMillis int64, state, want State) step {
+		return step{version: version, servers: one("a", startedMillis, state), want: want}
+	}
+	for name, steps := range map[string][]step{
+		"a move to an address that lags behind":        {snapshot(40, 5, Active, Active), delta(41, 5, Draining, Draining), {move: true}, snapshot(3, 5, Active, Draining), snapshot(4, 5, Active, Draining)},
+		"even with a higher version":                   {delta(41, 5, Draining, Draining), {move: true}, snapshot(90, 5, Active, Draining)},
+		"until that one reports a change":              {delta(41, 5, Draining, Draining), {move: true}, snapshot(3, 5, Active, Draining), delta(4, 5, Active, Active)},
+		"until it has reported the drain, and its end": {delta(41, 5, Draining, Draining), {move: true}, snapshot(3, 5, Draining, Draining), snapshot(4, 5, Active, Active)},
+		"two moves":                             {delta(41, 5, Draining, Draining), {move: true}, snapshot(3, 5, Active, Draining), {move: true}, snapshot(50, 5, Active, Draining)},
+		"an older snapshot of the same address": {delta(41, 5, Draining, Draining), snapshot(40, 5, Active, Draining)},
+		"a drain that is cancelled":             {delta(41, 5, Draining, Draining), delta(42, 5, Active, Active)},
+		"a restart":                             {delta(41, 5, Draining, Draining), {move: true}, snapshot(1, 6, Active, Active)},
+		"an earlier incarnation":                {delta(41, 5, Draining, Draining), {move: true}, snapshot(1, 4, Active, Draining)},
+		"a server that left":                    {delta(41, 5, Left, Left), {move: true}, snapshot(1, 5, Active, Left)},
+		"and does not drain again":              {delta(41, 5, Left, Left), snapshot(41, 5, Draining, Left)},
+		"for the retention":                     {delta(41, 5, Draining, Draining), {move: true}, {at: Retention + 1, version: 3, snapshot: true, servers: one("a", 5, Active), want: Active}},
+		"omitted, and listed by one that lags":  {delta(41, 5, Draining, Draining), {version: 42, snapshot: true}, {move: true}, snapshot(7, 5, Active, Draining)},
+	} {
+		var tracker Tracker
+		for i, s := range steps {
+			if s.move {
+				tracker.DiscoveryMoved(s.at)
+				continue
+			}
+			tracker.Apply(s.at, s.version, s.snapshot, s.servers)
+			if len(s.servers) > 0 && s.servers[0].State != s.want {
+				t.Errorf("%s: step %d: found state %v, wanted %v", name, i+1, s.servers[0].State, s.want)
+			}
+		}
+	}
+}
+
+// Whatever lists and moves come: right after a move, within Retention, no server that
+// was reported as draining is active again in the same incarnation, unless the new
+// address reports a change; and the number of records stays bounded.
+func TestDrainsHold(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var tracker Tracker
+		now := time.Duration(0)
+		version := int64(10)
+		reported := map[string]int64{} // start times of servers that were reported as draining
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
+			name := fmt.Sprintf("s%d", rapid.IntRange(1, 5).Draw(t, "server"))
+			startedMillis := int64(rapid.IntRange(0, 2).Draw(t, "incarnation"))
+			state := State(rapid.IntRange(0, 2).Draw(t, "state"))
+			version++
+			switch rapid.IntRange(0, 3).Draw(t, "kind") {
+			case 0:
+				tracker.DiscoveryMoved(now)
+				lagging := []Server{{name, startedMillis, Active}}
+				tracker.Apply(now, int64(rapid.IntRange(1, 100).Draw(t, "lag")), true, lagging)
+				if drained, ok := reported[name]; ok && drained >= startedMillis && lagging[0].State == Active {
+					t.Fatalf("%s was reported as draining (started %d) and is active (started %d) after a move", name, drained, startedMillis)
+				}
+				version = max(version, 100)
+				if lagging[0].State == Active {
+					delete(reported, name)
+				}
+			default:
+				servers := []Server{{name, startedMillis, state}}
+				tracker.Apply(now, version, false, servers)
+				if servers[0].State == Active {
+					delete(reported, name)
+				} else if state != Active && startedMillis >= reported[name] {
+					reported[name] = startedMillis
+				}
+			}
+		}
+		if tracker.Len() > 5 {
+			t.Fatalf("found %d records of 5 servers", tracker.Len())
+		}
+	})
+}
--- a/internal/discovery/forms_test.go
+++ b/internal/sidecar/discovery/forms_test.go
@@ -35,11 +35,11 @@
 }
 
 // describe is a list by the names of discovery's form.
-func describe(l dispatch.EndpointList) string {
+func describe(list dispatch.EndpointList) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "index=%d snapshot=%t\n", l.Version, l.Snapshot)
-	for _, n := range l.Endpoints {
-		fmt.Fprintf(&text, "name=%s address=%s zone=%s group=%d status=%d since_ms=%d\n", n.ID, n.Address, n.Zone, n.Cell, n.State, n.StartedMillis)
+	fmt.Fprintf(&text, "index=%d snapshot=%t\n", list.Version, list.Snapshot)
+	for _, endpoint := range list.Endpoints {
+		fmt.Fprintf(&text, "name=%s address=%s zone=%s group=%d status=%d since_ms=%d\n", endpoint.ID, endpoint.Address, endpoint.Zone, endpoint.Cell, endpoint.State, endpoint.StartedMillis)
 	}
 	return text.String()
 }
@@ -53,18 +53,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l, err := ParseText(text, "coap://")
+			list, err := Parse(text, "coap://")
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareWithFile(t, name+".txt", describe(l))
-			compareWithFile(t, name+".written.json", string(Text(l)))
+			compareWithFile(t, name+".txt", describe(list))
+			compareWithFile(t, name+".written.json", string(Marshal(list)))
 			for _, key := range []string{"index", "snapshot", "endpoints", "name", "address", "zone", "group", "status", "since_ms"} {
 				renamed := bytes.ReplaceAll(text, []byte(`"`+key+`":`), []byte(`"`+key+`x":`))
 				if bytes.Equal(renamed, text) {
 					t.Errorf("the form has no %s", key)
 				}
-				if r, err := ParseText(renamed, "coap://"); err == nil && describe(r) == describe(l) {
+				if r, err := Parse(renamed, "coap://"); err == nil && describe(r) == describe(list) {
 					t.Errorf("%s is not read", key)
 				}
 			}
@@ -108,19 +108,21 @@
 func TestRequestsAreTheRecordedOnes(t *testing.T) {
 	var text strings.Builder
 	for _, call := range []struct {
-		index int64
-		watch time.Duration
-	}{{none, watchFor}, {0, watchFor}, {41, watchFor}, {41, watchPushed}, {41, proxyWatchTimeout}} {
+		version int64
+		watch   time.Duration
+	}{{noVersion, watchTimeout}, {0, watchTimeout}, {41, watchTimeout}, {41, pushedWatchTimeout}, {41, proxyWatchTimeout}} {
 		list := `{"index":41,"snapshot":true,"endpoints":[]}`
 		requests := make(chan string, 1)
 		addr := listenRaw(t, func(c net.Conn) {
 			requests <- readHead(c)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-List-Source: delft\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-List-Source: delft\r\nContent-Length: %d\r\n\r\n%s", len(list), list); err != nil {
+				t.Error(err)
+			}
 		})
-		f := New(addr, false, 0)
-		f.index = call.index
-		_, source, err := f.call(t.Context(), addr, call.watch, answerWithin)
-		f.hangUp()
+		watcher := New(addr, false, 0)
+		watcher.version = call.version
+		_, source, err := watcher.fetch(t.Context(), addr, call.watch, answerTimeout)
+		watcher.hangUp()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/dispatch/dispatch.go
+++ b/internal/sidecar/dispatch/dispatch.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/membership"
+	"otterspring/internal/sidecar/discovery/drain"
 	"otterspring/internal/wallclock"
 )
 
@@ -64,7 +64,7 @@
 	attempts   []*Attempt // in flight; each knows its index
 	unreported []*Attempt // ended here, and the balancer has yet to be notified
 	servers    map[string]*server
-	drains     membership.Drains
+	drains     drain.Tracker
 	generation int                 // of discovery's address, up to the last list
 	version    int64               // of the endpoint list
 	endpoints  map[string]Endpoint // of that list, by name
--- a/internal/sidecar/dispatch/endpoints.go
+++ b/internal/sidecar/dispatch/endpoints.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/membership"
+	"otterspring/internal/sidecar/discovery/drain"
 )
 
 // EndpointList is a snapshot of discovery's endpoint list or a delta to it.
@@ -121,8 +121,8 @@
 }
 
 var (
-	drainStates  = map[balance.ServerState]membership.State{balance.Ready: membership.Active, balance.Draining: membership.Leaving, balance.Gone: membership.Left}
-	serverStates = map[membership.State]balance.ServerState{membership.Active: balance.Ready, membership.Leaving: balance.Draining, membership.Left: balance.Gone}
+	drainStates  = map[balance.ServerState]drain.State{balance.Ready: drain.Active, balance.Draining: drain.Draining, balance.Gone: drain.Left}
+	serverStates = map[drain.State]balance.ServerState{drain.Active: balance.Ready, drain.Draining: balance.Draining, drain.Left: balance.Gone}
 )
 
 // applyDrains corrects the states of endpoints that are older than a drain which was
@@ -130,13 +130,13 @@
 func (d *Dispatcher) applyDrains(list EndpointList, generation int) {
 	now := d.now()
 	for ; d.generation < generation; d.generation++ {
-		d.drains.Moved(now)
+		d.drains.DiscoveryMoved(now)
 	}
-	reported := make([]membership.Entry, len(list.Endpoints))
+	reported := make([]drain.Server, len(list.Endpoints))
 	for i, endpoint := range list.Endpoints {
-		reported[i] = membership.Entry{Name: endpoint.ID, Since: endpoint.StartedMillis, State: drainStates[endpoint.State]}
+		reported[i] = drain.Server{Name: endpoint.ID, StartedMillis: endpoint.StartedMillis, State: drainStates[endpoint.State]}
 	}
-	d.drains.Take(now, list.Version, list.Snapshot, reported)
+	d.drains.Apply(now, list.Version, list.Snapshot, reported)
 	for i, entry := range reported {
 		if entry.State != drainStates[list.Endpoints[i].State] {
 			list.Endpoints[i].State = serverStates[entry.State]
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -7,8 +7,8 @@
 
 	"otterspring/balance"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/discovery"
 	"otterspring/internal/httpfront"
+	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 )
 
@@ -133,12 +133,12 @@
 
 // Held is the list as this process holds it, in discovery's form, for a process
 // that takes over.
-func (s *Sidecar) Held() []byte { return discovery.Text(s.eng.Endpoints()) }
+func (s *Sidecar) Held() []byte { return discovery.Marshal(s.eng.Endpoints()) }
 
 // Hear takes the list that the other process of a hand-over holds, if it is
 // newer than the own one: the versions are of the same discovery.
 func (s *Sidecar) Hear(text []byte) {
-	l, err := discovery.ParseText(text, coapupstream.Scheme)
+	l, err := discovery.Parse(text, coapupstream.Scheme)
 	if err != nil {
 		slog.Warn("handover: a list that can't be read", "why", err)
 		return
@@ -151,7 +151,7 @@
 // OnList has every list that discovery tells from now on passed to f too, until
 // OffList or the next OnList.
 func (s *Sidecar) OnList(f func([]byte)) {
-	s.eng.OnEndpointUpdate(func(l dispatch.EndpointList) { f(discovery.Text(l)) })
+	s.eng.OnEndpointUpdate(func(l dispatch.EndpointList) { f(discovery.Marshal(l)) })
 }
 
 // OffList ends OnList.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -18,10 +18,10 @@
 	"otterspring/balance"
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/discovery"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/subscription"
 )
@@ -47,7 +47,7 @@
 	pool  *httpupstream.Pool
 	front *httpfront.Front
 	coap  *coapfront.Front // nil where it is off
-	disc  *discovery.Follower
+	disc  *discovery.Watcher
 	// control follows the configuration of services; nil where it is off.
 	control *subscription.Client
 	cfg     Config // as last loaded; only Reload touches it
@@ -107,7 +107,7 @@
 // StartWith starts with what the process before has handed over.
 func StartWith(cfg Config, opt Options) (*Sidecar, error) {
 	if opt.Held != nil {
-		held, err := discovery.ParseText(opt.Held, coapupstream.Scheme)
+		held, err := discovery.Parse(opt.Held, coapupstream.Scheme)
 		if err != nil {
 			return nil, fmt.Errorf("list handed over: %w", err)
 		}
@@ -126,7 +126,7 @@
 	}
 	d := discovery.New(cfg.Discovery, !cfg.Settings.Subscribe, cfg.Known.Version, schemes...)
 	d.UseProxy(opt.ListProxy, opt.ListSource, opt.FailoverDelay)
-	eng, err := dispatch.New(dispatch.Settings{Balance: cfg.Settings, Seed: cfg.Seed, DialTimeout: cfg.Conns.Dial, OpenUpstream: open}, d.Ask)
+	eng, err := dispatch.New(dispatch.Settings{Balance: cfg.Settings, Seed: cfg.Seed, DialTimeout: cfg.Conns.Dial, OpenUpstream: open}, d.RequestList)
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 	if opt.Held != nil {
 		// The process before was on a watch: what it is told from now on this one
 		// must know, too. The module would ask later, spread over seconds.
-		d.Ask()
+		d.RequestList()
 	}
 	go d.Run(ctx, eng)
 	if s.control != nil {
@@ -197,7 +197,7 @@
 // at once; what else differs holds from the next start on, and the log says so.
 // It must not be called by two at a time.
 func (s *Sidecar) Reload(cfg Config) {
-	s.disc.Move(cfg.Discovery)
+	s.disc.SetAddress(cfg.Discovery)
 	slog.Info("reload: taken", "discovery", cfg.Discovery)
 	if later := s.cfg.differs(&cfg); len(later) > 0 {
 		slog.Warn("reload: changed but used from the next start on only", "keys", strings.Join(later, ", "))
