--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -17,9 +17,8 @@
 	"github.com/spf13/cobra"
 
 	"otterspring/internal/cli"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
-	"otterspring/internal/fleet/everywhere"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/fleet/supervisor"
 )
 
@@ -66,7 +65,7 @@
 func rolls(name, does string, out io.Writer) *cobra.Command {
 	var wait, all bool
 	var program string
-	order := everywhere.Order{}
+	order := rollout.Request{}
 	c := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: does, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
@@ -94,8 +93,8 @@
 	}
 	if name == "restart" || name == "reload" {
 		c.Flags().BoolVar(&all, "everywhere", false, name+" on all hosts of the file's council, by its owner")
-		c.Flags().IntVar(&order.AtOnce, "at-once", 1, "with -everywhere: instances that may be under way in the fleet")
-		c.Flags().IntVar(&order.ZoneOnce, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no bound of its own")
+		c.Flags().IntVar(&order.MaxConcurrent, "at-once", 1, "with -everywhere: instances that may be under way in the fleet")
+		c.Flags().IntVar(&order.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no bound of its own")
 	}
 	return c
 }
@@ -163,16 +162,16 @@
 
 // restartEverywhere gives the council an order and, where that is wanted, shows how
 // it goes until it has ended.
-func restartEverywhere(f *supervisor.File, order everywhere.Order, names []string, wait bool, out io.Writer) error {
+func restartEverywhere(f *supervisor.File, order rollout.Request, names []string, wait bool, out io.Writer) error {
 	switch {
 	case f.Council.Name == "":
 		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", f.Path)
 	case len(names) > 0:
 		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, names[0])
-	case order.AtOnce < 1 || order.AtOnce > 100 || order.ZoneOnce < 0:
-		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.AtOnce, order.ZoneOnce)
+	case order.MaxConcurrent < 1 || order.MaxConcurrent > 100 || order.MaxConcurrentPerZone < 0:
+		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.MaxConcurrent, order.MaxConcurrentPerZone)
 	}
-	c := ask.NewClient(f.Council.Name, f.Council.Members)
+	c := client.NewClient(f.Council.Name, f.Council.Members)
 	defer c.Close()
 	text, err := json.Marshal(order)
 	if err != nil {
@@ -181,13 +180,13 @@
 	id := fmt.Sprintf("r%08x", rand.Uint32())
 	for { // the order has a number: asked twice it is one
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		a, err := c.Do(ctx, ask.Question{Kind: council.Begin, ID: id, Duty: supervisor.Duty, Data: text})
+		a, err := c.Do(ctx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.Duty, Data: text})
 		cancel()
-		if errors.Is(err, ask.ErrUnknown) {
+		if errors.Is(err, client.ErrUnknownOutcome) {
 			continue
 		}
-		if err == nil && a.Refused != "" {
-			err = errors.New(a.Refused)
+		if err == nil && a.Rejection != "" {
+			err = errors.New(a.Rejection)
 		}
 		if err != nil {
 			return err
@@ -201,22 +200,22 @@
 	return waitEverywhere(c, id, out)
 }
 
-func waitEverywhere(c *ask.Client, id string, out io.Writer) error {
+func waitEverywhere(c *client.Client, id string, out io.Writer) error {
 	last := ""
 	for ; ; time.Sleep(200 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-		a, err := c.Do(ctx, ask.Question{Kind: ask.State})
+		a, err := c.Do(ctx, client.Request{Kind: client.ReadState})
 		cancel()
 		if err != nil {
 			return err
 		}
 		line := ""
-		if d := a.State.Duties[supervisor.Duty]; d != nil && d.Note != nil {
-			var n everywhere.Note
-			if json.Unmarshal(d.Note, &n) == nil && n.Order == id {
-				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Done, n.Of, d.Owner, d.Epoch)
-				if n.Wait != "" {
-					line += ": " + n.Wait
+		if d := a.State.Leases[supervisor.Duty]; d != nil && d.Checkpoint != nil {
+			var n rollout.Checkpoint
+			if json.Unmarshal(d.Checkpoint, &n) == nil && n.RolloutID == id {
+				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Completed, n.Total, d.Holder, d.Token)
+				if n.Waiting != "" {
+					line += ": " + n.Waiting
 				}
 			}
 		}
@@ -224,12 +223,12 @@
 			fmt.Fprintln(out, line)
 			last = line
 		}
-		for _, o := range a.State.Orders {
-			if o.ID == id && o.End == "done" {
+		for _, o := range a.State.Operations {
+			if o.ID == id && o.Outcome == "done" {
 				fmt.Fprintln(out, "done")
 				return nil
-			} else if o.ID == id && o.End != "" {
-				return errors.New(o.End)
+			} else if o.ID == id && o.Outcome != "" {
+				return errors.New(o.Outcome)
 			}
 		}
 	}
