--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -19,10 +19,10 @@
 	"github.com/spf13/cobra"
 
 	"otterspring/internal/cli"
-	"otterspring/internal/daemon"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/scale"
 	"otterspring/internal/logs"
+	"otterspring/internal/sidecar/entrypoint"
 )
 
 // runner plays a rig whose flags have been read; files are the words behind
@@ -64,7 +64,7 @@
 func run(args []string) int {
 	if len(args) > 0 && args[0] == sidecarWord {
 		// The rig is its own sidecar where no other program is at hand.
-		return daemon.Main(args[1:], os.Stderr)
+		return entrypoint.Main(args[1:], os.Stderr)
 	}
 	if len(args) > 0 && args[0] == rig.ReaperWord {
 		return rig.Reap(os.Stdin)
--- a/cmd/sandhinge/main.go
+++ b/cmd/sandhinge/main.go
@@ -1,11 +1,11 @@
-// Command sandhinge is the sidecar: it takes the application's requests and
-// sends them on to the upstreams that package balance picks.
+// Command sandhinge is the sidecar: it accepts the application's requests and
+// forwards them to the upstreams that package balance picks.
 package main
 
 import (
 	"os"
 
-	"otterspring/internal/daemon"
+	"otterspring/internal/sidecar/entrypoint"
 )
 
-func main() { os.Exit(daemon.Main(os.Args[1:], os.Stderr)) }
+func main() { os.Exit(entrypoint.Main(os.Args[1:], os.Stderr)) }
--- a/cmd/sandhinge/main_test.go
+++ b/cmd/sandhinge/main_test.go
@@ -121,7 +121,7 @@
 	p := start(t)
 	for _, bad := range []string{"", "{", text("nowhere", "127.0.0.1:2"), text(p.addr, "x")} {
 		p.write(t, bad)
-		if line := p.hangUp(t); !strings.Contains(line, "old configuration stays") {
+		if line := p.hangUp(t); !strings.Contains(line, "reload failed; configuration is unchanged") {
 			t.Errorf("on %.20q: said %q", bad, line)
 		}
 	}
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/daemon"
 	"otterspring/internal/logs"
+	"otterspring/internal/sidecar/entrypoint"
 )
 
 const patience = 60 * time.Second
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv("TEST_RUNS_PROGRAM") {
 	case "sidecar":
-		os.Exit(daemon.Main(os.Args[1:], os.Stderr))
+		os.Exit(entrypoint.Main(os.Args[1:], os.Stderr))
 	case "stubborn":
 		ln, err := net.Listen("tcp", os.Getenv("RELAY_LISTEN"))
 		if err != nil {
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -269,11 +269,11 @@
 	{Name: "two-lengths", File: "internal/httpfront/check.go", Breaks: "a request may hide another in its body",
 		Old: "return lengths+codings <= 1 &&", New: "return lengths+codings <= 9 &&"},
 	{Name: "drain-in-a-hurry", Played: betweenRolls, File: "internal/sidecar/drain.go", Breaks: "a drain does not wait for what is open",
-		Old: "\ts.drainUntil(end, nil)\n\ts.coapEnd()\n", New: "\t_ = end\n\ts.front.Abandon()\n\ts.coapEnd()\n"},
+		Old: "\ts.awaitDrained(deadline, nil)\n\ts.closeCoAP()\n", New: "\t_ = deadline\n\ts.httpServer.Abandon()\n\ts.closeCoAP()\n"},
 	{Name: "drain-unbounded", File: "internal/sidecar/drain.go", Breaks: "a drain never hands back",
-		Old: "if !handed && !now.Before(end) {", New: "if !handed && now.Before(time.Unix(0, 0)) {"},
+		Old: "if !timedOut && !now.Before(deadline) {", New: "if !timedOut && now.Before(time.Unix(0, 0)) {"},
 	{Name: "resume-deaf", File: "internal/sidecar/drain.go", Breaks: "after a hand-over that failed the old process takes nothing more",
-		Old: "\ts.coapDraining(false)\n\ts.front.Resume()\n\treturn false", New: "\ts.coapDraining(false)\n\treturn false"},
+		Old: "\ts.setCoAPDraining(false)\n\ts.httpServer.Resume()\n\treturn false", New: "\ts.setCoAPDraining(false)\n\treturn false"},
 
 	// Discovery.
 	{Name: "older-change", File: "internal/sidecar/discovery/watcher.go", Breaks: "a change of an older version is taken",
--- a/internal/lab/rig/fleet_test.go
+++ b/internal/lab/rig/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/daemon"
+	"otterspring/internal/sidecar/entrypoint"
 )
 
 // TestMain runs the very program where a test asks for it.
@@ -25,7 +25,7 @@
 		os.Exit(stopAndJudge())
 	}
 	if os.Getenv("TEST_RUNS_PROGRAM") == "sidecar" {
-		os.Exit(daemon.Main(os.Args[1:], os.Stderr))
+		os.Exit(entrypoint.Main(os.Args[1:], os.Stderr))
 	}
 	os.Setenv("TEST_RUNS_PROGRAM", "sidecar") // for what the tests start
 	code := m.Run()
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -131,10 +131,10 @@
 		return cfg
 	}
 	before, same, after := read("", ""), read("", ""), read(`"aim-us":8000000`, `"aim-us":7000000`)
-	if found := before.differs(&same); len(found) != 0 {
+	if found := before.changedKeys(&same); len(found) != 0 {
 		t.Errorf("the same file: %q wait for the next start, wanted none", found)
 	}
-	if found := before.differs(&after); !slices.Equal(found, []string{"settings"}) {
+	if found := before.changedKeys(&after); !slices.Equal(found, []string{"settings"}) {
 		t.Errorf("another aim: %q wait for the next start, wanted settings", found)
 	}
 }
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -3,109 +3,99 @@
 import (
 	"fmt"
 	"log/slog"
-	"net"
 	"strings"
 
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
+	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/dispatch"
 )
 
-// ways is how upstreams are reached: by the scheme of their address, over HTTP/1.1
-// where there is none. Sockets for CoAP are of the upstreams' share, one a server.
-func ways(cfg *Config, o *operator.CoAP, http *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
-	if o == nil || !o.Servers {
-		for _, n := range cfg.Known.Endpoints {
-			if strings.HasPrefix(n.Address, coapupstream.Scheme) {
-				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", n.ID, n.Address)
+// upstreamOpener returns how upstreams are opened: by the scheme of their address, over
+// HTTP/1.1 without one. Sockets for CoAP are taken from the upstreams' share, one for
+// each server.
+func upstreamOpener(config *Config, section *operator.CoAP, httpPool *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
+	if section == nil || !section.Servers {
+		for _, endpoint := range config.KnownEndpoints.Endpoints {
+			if strings.HasPrefix(endpoint.Address, coapupstream.Scheme) {
+				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", endpoint.ID, endpoint.Address)
 			}
 		}
-		return http.Open, nil, nil
+		return httpPool.Open, nil, nil
 	}
-	coap := coapupstream.New(coapfront.ServersFromOperator(o, cfg.Seed), upstreamShare(cfg.Sockets)/2)
-	return func(addr string, since int64) dispatch.Upstream {
-		if rest, ok := strings.CutPrefix(addr, coapupstream.Scheme); ok {
-			return coap.Open(rest, since)
+	coapPool := coapupstream.New(coapfront.ServersFromOperator(section, config.Seed), upstreamSockets(config.Sockets)/2)
+	return func(address string, startedMillis int64) dispatch.Upstream {
+		if rest, ok := strings.CutPrefix(address, coapupstream.Scheme); ok {
+			return coapPool.Open(rest, startedMillis)
 		}
-		return http.Open(addr, since)
+		return httpPool.Open(address, startedMillis)
 	}, []string{coapupstream.Scheme}, nil
 }
 
-// CoAPAddr is where CoAP clients are taken; empty where they are not.
-func (s *Sidecar) CoAPAddr() string {
-	if s.coap == nil {
-		return ""
-	}
-	return s.coap.Addr()
-}
-
-// coapDraining has the front for CoAP turn away what is new, or no longer.
-func (s *Sidecar) coapDraining(on bool) {
-	switch {
-	case s.coap == nil:
-	case on:
-		s.coap.Refuse()
-	default:
-		s.coap.Resume()
-		s.coap.TakeBack()
-	}
-}
-
-// Packets is the socket for CoAP, for a process that takes over; nil for none.
-func (s *Sidecar) Packets() *net.UDPConn {
-	if s.coap == nil {
-		return nil
-	}
-	return s.coap.Socket()
-}
-
-// GiveCoAP stops taking requests over CoAP and returns what the process that takes
-// over has to know; nil where there is no CoAP.
-func (s *Sidecar) GiveCoAP() []byte {
-	if s.coap == nil {
+// openCoAP opens the CoAP server if the operator's file asks for one. Otherwise it closes
+// the predecessor's socket.
+func (s *Sidecar) openCoAP(options *Options) error {
+	if options.CoAP == nil || options.CoAP.Listen == "" {
+		if options.CoAPSocket != nil {
+			if err := options.CoAPSocket.Close(); err != nil {
+				slog.Warn("closing the predecessor's CoAP socket failed", "error", err)
+			}
+		}
 		return nil
 	}
-	return s.coap.Give()
+	settings := coapfront.FromOperator(options.CoAP, s.config.Settings.Classes, httpfront.DeadlineSlack, s.config.Seed, s.httpServer.Budget())
+	settings.Conn = options.CoAPSocket
+	var err error
+	s.coapServer, err = coapfront.Listen(settings, s.dispatcher)
+	return err
 }
 
-// InheritCoAP takes what the process before has given.
-func (s *Sidecar) InheritCoAP(text []byte) {
-	if s.coap != nil {
-		s.coap.Inherit(text)
+// CoAPAddress returns the address and port on which CoAP clients are served, empty for
+// none.
+func (s *Sidecar) CoAPAddress() string {
+	if s.coapServer == nil {
+		return ""
 	}
+	return s.coapServer.Addr()
 }
 
-// AloneOverCoAP says that the process before has ended.
-func (s *Sidecar) AloneOverCoAP() {
-	if s.coap != nil {
-		s.coap.Alone()
+// setCoAPDraining has the CoAP server reject new requests, or accept them again.
+func (s *Sidecar) setCoAPDraining(on bool) {
+	switch {
+	case s.coapServer == nil:
+	case on:
+		s.coapServer.Refuse()
+	default:
+		s.coapServer.Resume()
+		s.coapServer.TakeBack()
 	}
 }
 
-// coapOpen is how many requests over CoAP have no answer yet, and how many answers
-// no acknowledgement.
-func (s *Sidecar) coapOpen() (asked, unacked int) {
-	if s.coap == nil {
+// coapPending returns how many CoAP requests have no answer yet, and how many answers no
+// acknowledgement.
+func (s *Sidecar) coapPending() (unanswered, unacknowledged int) {
+	if s.coapServer == nil {
 		return 0, 0
 	}
-	return s.coap.Open()
+	return s.coapServer.Open()
 }
 
-// coapIdle tells whether a drain has nothing to wait for over CoAP.
+// coapIdle reports whether a drain has nothing to wait for over CoAP.
 func (s *Sidecar) coapIdle() bool {
-	asked, unacked := s.coapOpen()
-	return asked+unacked == 0
+	unanswered, unacknowledged := s.coapPending()
+	return unanswered+unacknowledged == 0
 }
 
-// coapEnd ends the front.
-func (s *Sidecar) coapEnd() {
-	if s.coap == nil {
+// closeCoAP closes the CoAP server and logs its counts.
+func (s *Sidecar) closeCoAP() {
+	if s.coapServer == nil {
 		return
 	}
-	c, unsent := s.coap.Counts()
-	s.coap.Close()
-	slog.Info("coap: ended", "received", c.Received, "asked", c.Asked, "dedup_hits", c.DedupHits, "retransmits", c.Retransmits,
-		"turned_away", c.TurnedAway+c.Full, "not_proven", c.NotProven, "bad_requests", c.BadRequests, "cut_short", c.Spread, "unsent", unsent)
+	counts, unsent := s.coapServer.Counts()
+	s.coapServer.Close()
+	slog.Info("CoAP server closed", "received", counts.Received, "requests", counts.Asked, "dedup_hits", counts.DedupHits,
+		"retransmits", counts.Retransmits, "rejected", counts.TurnedAway+counts.Full, "unproven", counts.NotProven,
+		"bad_requests", counts.BadRequests, "truncated", counts.Spread, "unsent", unsent)
 }
--- a/internal/sidecar/coap_test.go
+++ b/internal/sidecar/coap_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.coapEnd(); s.front.Listener().Close(); s.stop() })
+	t.Cleanup(func() { s.closeCoAP(); s.httpServer.Listener().Close(); s.cancel() })
 	return s
 }
 
@@ -68,7 +68,7 @@
 	}))
 	defer up.Close()
 	s := startCoAP(t, true, up.Listener.Addr().String())
-	c, err := udp.Dial(s.CoAPAddr())
+	c, err := udp.Dial(s.CoAPAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 		return good(c, r, 0)
 	})
 	s := startCoAP(t, true, up.addr())
-	c, err := udp.Dial(s.CoAPAddr())
+	c, err := udp.Dial(s.CoAPAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,8 +160,8 @@
 	<-asked
 	drained := make(chan bool)
 	go func() { s.Drain(); close(drained) }()
-	eventually(t, "the drain begins", s.front.Draining)
-	other, err := udp.Dial(s.CoAPAddr())
+	eventually(t, "the drain begins", s.httpServer.Draining)
+	other, err := udp.Dial(s.CoAPAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 		t.Errorf("what was open: %v", code)
 	}
 	<-drained
-	if calls, out, _ := s.eng.Counts(); calls+out != 0 {
+	if calls, out, _ := s.dispatcher.Counts(); calls+out != 0 {
 		t.Errorf("%d calls, %d attempts are left", calls, out)
 	}
 }
@@ -195,8 +195,8 @@
 		return good(c, r, 0)
 	})
 	s := startCoAP(t, true, up.addr())
-	s.SetFinish(patience)
-	c, err := net.Dial("udp", s.CoAPAddr())
+	s.SetDrainTimeout(patience)
+	c, err := net.Dial("udp", s.CoAPAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	}
 	drained := make(chan bool)
 	go func() { s.Drain(); close(drained) }()
-	eventually(t, "the drain begins", s.front.Draining)
+	eventually(t, "the drain begins", s.httpServer.Draining)
 	close(hold)
 	first := read("answer")
 	again := read("the answer once more")
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,6 +1,3 @@
-// Package sidecar carries out on real sockets what package balance decides:
-// it takes requests from the application, sends attempts to upstreams and
-// follows discovery. It decides nothing itself.
 package sidecar
 
 import (
@@ -20,27 +17,30 @@
 	"otterspring/internal/wire"
 )
 
-// Config is what a sidecar is told at its start.
+// This file holds the names of the configuration file that RELAY_CONFIG names.
+
+// Config is the content of the configuration file. Load has checked it.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	Memory    int // bytes
-	Sockets   int
-	Known     dispatch.EndpointList
-	Settings  balance.Settings
-	Conns     wire.Conns
+	Name           string
+	Listen         string // IP address and port for clients
+	Discovery      string // IP address and port
+	Seed           uint64
+	Cores          float64
+	MemoryBytes    int
+	Sockets        int                   // limit of file descriptors
+	KnownEndpoints dispatch.EndpointList // the list as last known, possibly old
+	Settings       balance.Settings
+	Connections    wire.Conns
 }
 
-// The least that a sidecar can work with.
+// The least resources that a sidecar can work with.
 const (
-	leastMemory  = 32 << 20
-	leastSockets = 64
+	minMemory  = 32 << 20 // bytes
+	minSockets = 64
 )
 
-// Load reads the configuration file at path.
+// Load reads and checks the configuration file. An error is one line that names the
+// file, the key, what was found and what was expected.
 func Load(path string) (Config, error) {
 	if path == "" {
 		return Config{}, errors.New("RELAY_CONFIG is not set: expected the path of the configuration file")
@@ -49,85 +49,101 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	cfg, err := parseConfig(text)
+	config, err := parseConfig(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return cfg, nil
+	return config, nil
 }
 
 // parseConfig reads and checks the text of a configuration.
 func parseConfig(text []byte) (Config, error) {
-	v, err := fastjson.ParseBytes(text)
+	value, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("not JSON: %w", err)
 	}
-	if v.Type() != fastjson.TypeObject {
-		return Config{}, fmt.Errorf("expected a JSON object, found %s", v.Type())
+	if value.Type() != fastjson.TypeObject {
+		return Config{}, fmt.Errorf("expected a JSON object, found %s", value.Type())
 	}
-	cfg := Config{
-		Name:      string(v.GetStringBytes("name")),
-		Listen:    string(v.GetStringBytes("listen")),
-		Discovery: string(v.GetStringBytes("discovery")),
-		Cores:     v.GetFloat64("limits", "cores"),
-		Memory:    v.GetInt("limits", "memory_mb") << 20,
-		Sockets:   v.GetInt("limits", "sockets"),
+	config := Config{
+		Name:        string(value.GetStringBytes("name")),
+		Listen:      string(value.GetStringBytes("listen")),
+		Discovery:   string(value.GetStringBytes("discovery")),
+		Cores:       value.GetFloat64("limits", "cores"),
+		MemoryBytes: value.GetInt("limits", "memory_mb") << 20,
+		Sockets:     value.GetInt("limits", "sockets"),
 	}
-	for _, a := range []struct{ key, addr string }{{"listen", cfg.Listen}, {"discovery", cfg.Discovery}} {
-		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return Config{}, fmt.Errorf("%s: expected an IP address and port, found %q", a.key, a.addr)
+	for _, field := range []struct{ key, address string }{{"listen", config.Listen}, {"discovery", config.Discovery}} {
+		if _, err := netip.ParseAddrPort(field.address); err != nil {
+			return Config{}, fmt.Errorf("%s: expected an IP address and port, found %q", field.key, field.address)
 		}
 	}
-	seed := string(v.GetStringBytes("seed"))
-	if cfg.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
+	seed := string(value.GetStringBytes("seed"))
+	if config.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: expected up to 16 hex digits, found %q", seed)
 	}
-	switch {
-	case !(cfg.Cores > 0):
-		return Config{}, fmt.Errorf("limits.cores: found %v, wanted a number above 0", cfg.Cores)
-	case cfg.Memory < leastMemory:
-		return Config{}, fmt.Errorf("limits.memory_mb: found %d, wanted %d or more", cfg.Memory>>20, leastMemory>>20)
-	case cfg.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: found %d, wanted %d or more", cfg.Sockets, leastSockets)
-	}
-	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if cfg.Known, err = discovery.ParseValue(known, coapupstream.Scheme); err != nil {
+	if err := config.checkLimits(); err != nil {
+		return Config{}, err
+	}
+	if known := value.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
+		if config.KnownEndpoints, err = discovery.ParseValue(known, coapupstream.Scheme); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
-	settings := v.Get("settings")
+	if err := config.parseSettings(value.Get("settings")); err != nil {
+		return Config{}, fmt.Errorf("settings: %w", err)
+	}
+	return config, nil
+}
+
+// checkLimits checks the resources.
+func (c *Config) checkLimits() error {
+	switch {
+	case !(c.Cores > 0): // also for a value that is no number
+		return fmt.Errorf("limits.cores: found %v, wanted a number above 0", c.Cores)
+	case c.MemoryBytes < minMemory:
+		return fmt.Errorf("limits.memory_mb: found %d, wanted %d or more", c.MemoryBytes>>20, minMemory>>20)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: found %d, wanted %d or more", c.Sockets, minSockets)
+	}
+	return nil
+}
+
+// parseSettings reads and checks the balancer's settings. Seed has been read before.
+func (c *Config) parseSettings(settings *fastjson.Value) error {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
-		return Config{}, errors.New("settings: expected an object")
+		return errors.New("expected an object")
 	}
 	if err := wire.Check(settings); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
+		return err
 	}
-	cfg.Settings, cfg.Conns = wire.Settings(settings), wire.ConnSettings(settings)
-	if _, err := balance.New(cfg.Settings, cfg.Seed); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
+	c.Settings, c.Connections = wire.Settings(settings), wire.ConnSettings(settings)
+	if _, err := balance.New(c.Settings, c.Seed); err != nil {
+		return err
 	}
-	if cfg.Conns.Idle <= 0 || cfg.Conns.Dial <= 0 {
-		return Config{}, errors.New("settings: limits.conn-idle-us and limits.dial-timeout-us: expected numbers above 0")
+	if c.Connections.Idle <= 0 || c.Connections.Dial <= 0 {
+		return errors.New("limits.conn-idle-us and limits.dial-timeout-us: expected numbers above 0")
 	}
-	return cfg, nil
+	return nil
 }
 
-// differs names what a reload can't bring into use. Seed and list are new with
-// every file and mean nothing to a running sidecar.
-func (c *Config) differs(n *Config) []string {
-	var names []string
-	for _, f := range []struct {
-		name string
+// changedKeys names what differs in another configuration and can't take effect in a
+// reload. Seed and endpoint list differ in every file and don't matter to a sidecar that
+// runs.
+func (c *Config) changedKeys(other *Config) []string {
+	var keys []string
+	for _, field := range []struct {
+		key  string
 		same bool
 	}{
-		{"name", c.Name == n.Name},
-		{"listen", c.Listen == n.Listen},
-		{"limits", c.Cores == n.Cores && c.Memory == n.Memory && c.Sockets == n.Sockets},
-		{"settings", reflect.DeepEqual(c.Settings, n.Settings) && c.Conns == n.Conns},
+		{"name", c.Name == other.Name},
+		{"listen", c.Listen == other.Listen},
+		{"limits", c.Cores == other.Cores && c.MemoryBytes == other.MemoryBytes && c.Sockets == other.Sockets},
+		{"settings", reflect.DeepEqual(c.Settings, other.Settings) && c.Connections == other.Connections},
 	} {
-		if !f.same {
-			names = append(names, f.name)
+		if !field.same {
+			keys = append(keys, field.key)
 		}
 	}
-	return names
+	return keys
 }
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -14,12 +14,12 @@
 
 // engineCounts are what the sidecar holds of requests, attempts and upstreams.
 func engineCounts(s *Sidecar) (calls, out, hosts int) {
-	return s.eng.Counts()
+	return s.dispatcher.Counts()
 }
 
 // idleConns counts the pool's idle connections by its own lists.
 func idleConns(s *Sidecar) int {
-	_, idle := s.pool.Counts()
+	_, idle := s.httpPool.Counts()
 	return idle
 }
 
@@ -67,11 +67,11 @@
 		n := idleConns(s)
 		return poolOpen(s) == n && up.live.Load() == int64(n)
 	})
-	eventually(t, "the budget is whole", func() bool { return int64(s.front.Bodies()) == 8<<20 })
-	eventually(t, "no client is kept", s.front.Empty)
+	eventually(t, "the budget is whole", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "no client is kept", s.httpServer.Empty)
 
 	// An upstream that leaves takes its connections along.
-	s.eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Snapshot: true}, 0)
+	s.dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Snapshot: true}, 0)
 	eventually(t, "nothing is kept of an upstream that has gone", func() bool {
 		_, _, hosts := engineCounts(s)
 		return hosts == 0 && poolOpen(s) == 0 && up.live.Load() == 0
@@ -97,7 +97,7 @@
 	<-asked
 	ended := make(chan bool)
 	go func() { s.Drain(); close(ended) }()
-	eventually(t, "the drain begins", s.front.Draining)
+	eventually(t, "the drain begins", s.httpServer.Draining)
 	late := dialClient(t, s)
 	io.WriteString(late, readRequest(ids[2]))
 	io.WriteString(half, text[20:])
--- a/internal/daemon/configuration_test.go
+++ b/internal/sidecar/entrypoint/configuration_test.go
@@ -1,4 +1,4 @@
-package daemon_test
+package entrypoint_test
 
 import (
 	"encoding/json"
@@ -107,7 +107,7 @@
 		}
 		wait(t, "the reload says what waits", func() bool {
 			said := in.Tail()
-			return strings.Contains(said, "used from the next start on only") && strings.Contains(said, "keys=configuration")
+			return strings.Contains(said, "operator file changed; keys take effect at the next start") && strings.Contains(said, "keys=configuration")
 		})
 		if n := r.asked(); n != 1 || !holds() {
 			t.Errorf("after a reload: found %d snapshots asked for, wanted 1 and the version as it was", n)
--- a/internal/daemon/exit_test.go
+++ b/internal/sidecar/entrypoint/exit_test.go
@@ -1,4 +1,4 @@
-package daemon_test
+package entrypoint_test
 
 import (
 	"errors"
--- a/internal/daemon/daemon_test.go
+++ b/internal/sidecar/entrypoint/main_test.go
@@ -1,4 +1,4 @@
-package daemon_test
+package entrypoint_test
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/daemon"
 	"otterspring/internal/handover"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/clients"
+	"otterspring/internal/sidecar/entrypoint"
 )
 
 // patience bounds every wait; the tests wait on conditions.
@@ -27,7 +27,7 @@
 func TestMain(m *testing.M) {
 	switch os.Getenv("TEST_RUNS_PROGRAM") {
 	case "sidecar":
-		os.Exit(daemon.Main(os.Args[1:], os.Stderr))
+		os.Exit(entrypoint.Main(os.Args[1:], os.Stderr))
 	case "hangs": // a new version that never becomes ready
 		t, err := handover.Take(os.Getenv("TEST_SOCKET"), os.Getenv("RELAY_LISTEN"), patience)
 		fmt.Println(t != nil, err)
@@ -226,7 +226,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	// It has the socket when the old one says that it drains.
-	for !strings.Contains(in.Tail(), "given to another process") {
+	for !strings.Contains(in.Tail(), "listener handed over") {
 		time.Sleep(time.Millisecond)
 	}
 	p.Kill()
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -46,11 +46,11 @@
 	line("discovery", c.Discovery)
 	line("seed", c.Seed)
 	line("limits.cores", c.Cores)
-	line("limits.memory_mb", c.Memory>>20)
+	line("limits.memory_mb", c.MemoryBytes>>20)
 	line("limits.sockets", c.Sockets)
-	line("known.index", c.Known.Version)
-	line("known.snapshot", c.Known.Snapshot)
-	for _, n := range c.Known.Endpoints {
+	line("known.index", c.KnownEndpoints.Version)
+	line("known.snapshot", c.KnownEndpoints.Snapshot)
+	for _, n := range c.KnownEndpoints.Endpoints {
 		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Address, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.StartedMillis))
 	}
 	s := &c.Settings
@@ -58,8 +58,8 @@
 	line("settings.extra.warm-keys", s.WarmKeys)
 	line("settings.discovery is subscribe", s.Subscribe)
 	line("settings.round-us", s.Round)
-	line("settings.limits.conn-idle-us", fmt.Sprint(s.IdleFor, " ", c.Conns.Idle))
-	line("settings.limits.dial-timeout-us", c.Conns.Dial)
+	line("settings.limits.conn-idle-us", fmt.Sprint(s.IdleFor, " ", c.Connections.Idle))
+	line("settings.limits.dial-timeout-us", c.Connections.Dial)
 	line("settings.limits.try-limit", s.MaxAttempts)
 	line("settings.limits.cancel", s.CanCancel)
 	line("settings.limits.second-copies", s.CanCopy)
@@ -121,9 +121,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.NoteReload(true)
-		s.NoteReload(true)
-		s.NoteReload(false)
+		s.CountReload(true)
+		s.CountReload(true)
+		s.CountReload(false)
 		for range 2 {
 			c := dialClient(t, s)
 			if _, err := io.WriteString(c, "GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"); err != nil {
@@ -136,10 +136,10 @@
 			got := strings.ReplaceAll(string(answer), fmt.Sprintf("X-Pid: %d\r", os.Getpid()), "X-Pid: PID\r")
 			got = regexp.MustCompile(`Date: [^\r]*`).ReplaceAllString(got, "Date: DATE")
 			text.WriteString(strings.ReplaceAll(got, "\r\n", "<CRLF>\n") + "\n")
-			s.front.SetDraining(true)
+			s.httpServer.SetDraining(true)
 		}
-		s.front.Listener().Close()
-		s.stop()
+		s.httpServer.Listener().Close()
+		s.cancel()
 	}
 	compareWithFile(t, "up.txt", text.String())
 }
@@ -152,14 +152,14 @@
 		fmt.Fprintf(&text, "%q %v %v %x\n", name, FailoverDelay(name, 7*time.Second), FailoverDelay(name, 0), seedOf(name))
 	}
 	for _, sockets := range []int{64, 100, 4096} {
-		serve, refuse := clientShares(sockets)
-		fmt.Fprintf(&text, "%d sockets: %d for upstreams, %d served, %d refused\n", sockets, upstreamShare(sockets), serve, refuse)
+		serve, refuse := clientSockets(sockets)
+		fmt.Fprintf(&text, "%d sockets: %d for upstreams, %d served, %d refused\n", sockets, upstreamSockets(sockets), serve, refuse)
 	}
 	for _, deadline := range []time.Duration{time.Second, 8 * time.Second} {
-		s := &Sidecar{cfg: Config{Settings: balance.Settings{Classes: []balance.Class{{Deadline: deadline}, {Deadline: time.Second}}}}}
-		fmt.Fprintf(&text, "deadline %v: a drain of %v", deadline, s.drainBound())
-		s.SetFinish(3 * time.Second)
-		fmt.Fprintf(&text, ", %v\n", s.drainBound())
+		s := &Sidecar{config: Config{Settings: balance.Settings{Classes: []balance.Class{{Deadline: deadline}, {Deadline: time.Second}}}}}
+		fmt.Fprintf(&text, "deadline %v: a drain of %v", deadline, s.drainTimeout())
+		s.SetDrainTimeout(3 * time.Second)
+		fmt.Fprintf(&text, ", %v\n", s.drainTimeout())
 	}
 	compareWithFile(t, "derived.txt", text.String())
 }
--- /dev/null
+++ b/internal/sidecar/handover.go
@@ -0,0 +1,73 @@
+package sidecar
+
+import (
+	"log/slog"
+	"net"
+
+	"otterspring/balance"
+	"otterspring/internal/coapupstream"
+	"otterspring/internal/sidecar/discovery"
+	"otterspring/internal/sidecar/dispatch"
+)
+
+// This file holds what two processes of one sidecar exchange in a handover. With it a
+// Sidecar implements handover.Source.
+
+// Listener returns the listening socket for the successor.
+func (s *Sidecar) Listener() *net.TCPListener { return s.httpServer.Listener() }
+
+// Packets returns the CoAP socket for the successor, nil for none.
+func (s *Sidecar) Packets() *net.UDPConn {
+	if s.coapServer == nil {
+		return nil
+	}
+	return s.coapServer.Socket()
+}
+
+// Held returns this process's endpoint list, in discovery's form.
+func (s *Sidecar) Held() []byte { return discovery.Marshal(s.dispatcher.Endpoints()) }
+
+// Hear applies the other process's endpoint list if it is newer than the own one. The
+// versions of both come from the same discovery. A malformed list is logged and ignored.
+func (s *Sidecar) Hear(text []byte) {
+	list, err := discovery.Parse(text, coapupstream.Scheme)
+	if err != nil {
+		slog.Warn("malformed endpoint list of the other process in a handover", "error", err)
+		return
+	}
+	if version, generation := s.dispatcher.EndpointVersion(); list.Version > version {
+		s.dispatcher.UpdateEndpoints(balance.ListFull, list, generation)
+	}
+}
+
+// OnEndpointList registers a function that receives every list from discovery from now
+// on, in discovery's form, until OffEndpointList or the next OnEndpointList.
+func (s *Sidecar) OnEndpointList(receive func([]byte)) {
+	s.dispatcher.OnEndpointUpdate(func(list dispatch.EndpointList) { receive(discovery.Marshal(list)) })
+}
+
+// OffEndpointList ends OnEndpointList.
+func (s *Sidecar) OffEndpointList() { s.dispatcher.OnEndpointUpdate(nil) }
+
+// HandOverCoAP stops accepting requests over CoAP and returns the state that the
+// successor needs, nil where there is no CoAP server.
+func (s *Sidecar) HandOverCoAP() []byte {
+	if s.coapServer == nil {
+		return nil
+	}
+	return s.coapServer.Give()
+}
+
+// InheritCoAP applies the state that the predecessor has returned from HandOverCoAP.
+func (s *Sidecar) InheritCoAP(state []byte) {
+	if s.coapServer != nil {
+		s.coapServer.Inherit(state)
+	}
+}
+
+// PredecessorEnded notes that the predecessor does not serve CoAP exchanges any more.
+func (s *Sidecar) PredecessorEnded() {
+	if s.coapServer != nil {
+		s.coapServer.Alone()
+	}
+}
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -147,14 +147,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.front.Listener().Close(); s.stop() })
+	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
 	return s
 }
 
 // wantAim waits until a class has an aim.
 func wantAim(t *testing.T, s *Sidecar, class string, aim time.Duration) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("an aim of %v for %s", aim, class), func() bool { return s.eng.Class(class).Aim == aim })
+	eventually(t, fmt.Sprintf("an aim of %v for %s", aim, class), func() bool { return s.dispatcher.Class(class).Aim == aim })
 }
 
 func upHeader(t *testing.T, s *Sidecar) http.Header {
@@ -289,7 +289,7 @@
 	if poll := relay.last(); poll.Rejected[0] != wanted || poll.Version != bad {
 		t.Errorf("poll: found version %v and %+v, wanted %v and %+v", poll.Version, poll.Rejected[0], bad, wanted)
 	}
-	if read, act := s.eng.Class("read").Aim, s.eng.Class("act").Aim; read != 5*time.Second || act != 6*time.Second {
+	if read, act := s.dispatcher.Class("read").Aim, s.dispatcher.Class("act").Aim; read != 5*time.Second || act != 6*time.Second {
 		t.Errorf("in force: found aims of %v and %v, wanted the last good 5s, and 6s of the other service", read, act)
 	}
 	wantServed(t, s)
@@ -320,7 +320,7 @@
 		age, err := time.ParseDuration(h.Get("X-Configuration-Age") + "s")
 		return err == nil && age > 300*time.Millisecond && h.Get("X-Configuration") == version.String()
 	})
-	if aim := s.eng.Class("read").Aim; aim != 5*time.Second {
+	if aim := s.dispatcher.Class("read").Aim; aim != 5*time.Second {
 		t.Errorf("after the relay's end: found an aim of %v, wanted the last that came, 5s", aim)
 	}
 	wantServed(t, s)
@@ -338,7 +338,7 @@
 	up := startUpstream(t, good)
 	off := startSidecar(t, up.addr())
 	wantServed(t, off)
-	if runsClient() || off.control != nil {
+	if runsClient() || off.configClient != nil {
 		t.Error("off: found a control client, wanted none")
 	}
 	var names []string
@@ -352,6 +352,6 @@
 	}
 	on := startFollowing(t, []string{closedAddress(t), closedAddress(t)}, nil, up.addr())
 	eventually(t, "on, a client runs", runsClient)
-	on.stop()
+	on.cancel()
 	eventually(t, "it ends with the sidecar", func() bool { return !runsClient() })
 }
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.front.Listener().Close(); s.stop() })
+	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
 	return s
 }
 
@@ -151,7 +151,7 @@
 	one := startUpstream(t, func(c net.Conn, _ *http.Request, _ int64) bool { return reset(c) })
 	late := startLate(t, good)
 	s := startWith(t, []string{`"window-us":4000000`, `"window-us":600000`}, one.addr())
-	s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
+	s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		{Server: balance.Server{ID: "late", Zone: "a", Cell: 1}, Address: late.addr()}}}, 0)
 	// Which of the two is tried first is chance: the late one alone proves nothing.
 	for began := time.Now(); one.seen.Load() == 0; {
@@ -193,7 +193,7 @@
 	entry := func(addr string, state balance.ServerState) dispatch.Endpoint {
 		return dispatch.Endpoint{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Address: addr}
 	}
-	s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
+	s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		entry(late.addr(), balance.Draining), entry(other.addr(), balance.Ready)}}, 0)
 	late.let()
 	if r, body := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusOK || body != id {
@@ -217,10 +217,10 @@
 			io.WriteString(c, readRequest(newID()))
 			late.dialled(t)
 			c.Close()
-			eventually(t, "the client's leave noticed", func() bool { return s.front.Empty() })
+			eventually(t, "the client's leave noticed", func() bool { return s.httpServer.Empty() })
 			late.let()
 			eventually(t, "the connection, or the end of its dial", func() bool {
-				open, idle := s.pool.Counts()
+				open, idle := s.httpPool.Counts()
 				return open == idle || late.seen.Load() > 0
 			})
 			if n := late.seen.Load(); n != 0 {
@@ -279,12 +279,12 @@
 		return true
 	})
 	s := startSidecar(t, up.addr())
-	s.front.LingerFor = patience // for a slow machine
+	s.httpServer.LingerFor = patience // for a slow machine
 	// The client takes little at a time, so that most of the answer waits in the sidecar's kernel.
 	small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) })
 	}}
-	c, err := small.Dial("tcp", s.Addr())
+	c, err := small.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +293,7 @@
 	io.WriteString(c, readRequest(newID()))
 	eventually(t, "the request", func() bool { return up.seen.Load() == 1 })
 	io.WriteString(c, strings.Repeat("x", 60<<10))
-	s.front.SetDraining(true) // every answer ends its connection from here on
+	s.httpServer.SetDraining(true) // every answer ends its connection from here on
 	close(answer)
 	port := c.LocalAddr().(*net.TCPAddr).Port
 	eventually(t, "the close", func() bool { return tcpState(t, c) == tcpClosed || sockets(t, port, tcpFinWait1) > 0 })
@@ -305,7 +305,7 @@
 		t.Fatalf("%d bytes of the answer came, of %d: %v", len(got), len(body), err)
 	}
 	c.Close()
-	eventually(t, "the connection let go", s.front.Empty)
+	eventually(t, "the connection let go", s.httpServer.Empty)
 }
 
 // Those that linger are bounded in number, in time and in bytes: clients that never
@@ -313,8 +313,8 @@
 func TestLingeringIsBounded(t *testing.T) {
 	t.Parallel()
 	s := startSidecar(t, startUpstream(t, good).addr())
-	s.front.SetDraining(true)
-	serve, refuse := clientShares(s.cfg.Sockets)
+	s.httpServer.SetDraining(true)
+	serve, refuse := clientSockets(s.config.Sockets)
 	for range 2 * (serve + refuse) {
 		c := dialClient(t, s)
 		io.WriteString(c, readRequest(newID()))
@@ -323,7 +323,7 @@
 		}
 		// It stays open on this side, for good.
 	}
-	eventually(t, "all connections let go", s.front.Empty)
+	eventually(t, "all connections let go", s.httpServer.Empty)
 }
 
 // SIGTERM comes between any two steps of a request: what was taken is answered, what was
@@ -375,7 +375,7 @@
 				drained := make(chan struct{})
 				go func() { s.Drain(); close(drained) }()
 				defer await(t, drained)
-				eventually(t, "the drain", s.front.Draining)
+				eventually(t, "the drain", s.httpServer.Draining)
 			}
 		}
 	})
@@ -391,9 +391,9 @@
 		up := startUpstream(t, good)
 		s := startSidecar(t)
 		drainWith(t, s, func() {
-			eventually(t, "the request", func() bool { calls, _, _ := s.eng.Counts(); return calls == 1 })
+			eventually(t, "the request", func() bool { calls, _, _ := s.dispatcher.Counts(); return calls == 1 })
 		}, func() {
-			s.eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Address: up.addr()}}}, 0)
+			s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Address: up.addr()}}}, 0)
 		})
 	})
 }
@@ -408,7 +408,7 @@
 	began()
 	drained := make(chan struct{})
 	go func() { s.Drain(); close(drained) }()
-	eventually(t, "the drain", s.front.Draining)
+	eventually(t, "the drain", s.httpServer.Draining)
 	goOn()
 	if r, body := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusOK || body != id || !r.Close {
 		t.Errorf("answered %v %q", r, body)
@@ -432,11 +432,11 @@
 	const timeWait = 6
 	up := startUpstream(t, good)
 	first := startSidecar(t, up.addr())
-	first.front.SetDraining(true) // its answers close from this side, which leaves TIME_WAIT here
+	first.httpServer.SetDraining(true) // its answers close from this side, which leaves TIME_WAIT here
 	wantServed(t, first)
-	port := first.front.Listener().Addr().(*net.TCPAddr).Port
+	port := first.httpServer.Listener().Addr().(*net.TCPAddr).Port
 	eventually(t, "TIME_WAIT", func() bool { return localSockets(t, port, timeWait) > 0 })
-	addr := first.Addr()
+	addr := first.Address()
 	first.Drain()
 	gone := listen(t)
 	gone.Close()
@@ -449,7 +449,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { second.front.Listener().Close(); second.stop() })
+	t.Cleanup(func() { second.httpServer.Listener().Close(); second.cancel() })
 	if r, _ := exchange(t, second, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"); r == nil || r.StatusCode != http.StatusOK {
 		t.Errorf("/up answered %v", r)
 	}
--- a/internal/sidecar/overlay_test.go
+++ b/internal/sidecar/overlay_test.go
@@ -92,7 +92,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			before := fileSettings()
-			result := layOver(before, test.services)
+			result := overlaySettings(before, test.services)
 			if found := wording(result.settings); found != test.wanted {
 				t.Errorf("settings: found %s\nwanted %s", found, test.wanted)
 			}
@@ -141,7 +141,7 @@
 	services := []string{"s", "t", "u", "v"}
 	rapid.Check(t, func(t *rapid.T) {
 		var changed overlayRecord
-		live := &liveSettings{file: fileSettings(), change: changed.take}
+		live := &liveSettings{file: fileSettings(), reconfigure: changed.take}
 		for _, service := range services {
 			live.services = append(live.services, serviceState{service: service})
 		}
@@ -157,7 +157,7 @@
 				}
 			}
 			before := slices.Clone(live.services)
-			rejected := live.take(taken, version)
+			rejected := live.apply(taken, version)
 			checkStep(t, live, before, rejected, changed.settings)
 		}
 	})
@@ -199,7 +199,7 @@
 			if at < 0 {
 				t.Fatalf("%s: found class %s in force, wanted one of the file's", state.service, change.Name)
 			}
-			apply(&wanted.Classes[at], &change)
+			applyClass(&wanted.Classes[at], &change)
 		}
 		if tenants := state.inForce.settings.Tenants; tenants != nil {
 			tenantSetters++
@@ -226,14 +226,14 @@
 func TestChangeThatIsRefusedIsReported(t *testing.T) {
 	refusal := errors.New("no")
 	live := &liveSettings{file: fileSettings(), services: []serviceState{{service: "s"}, {service: "t"}}}
-	live.change = func([]balance.Class, []balance.Tenant) error { return refusal }
+	live.reconfigure = func([]balance.Class, []balance.Tenant) error { return refusal }
 	version := configuration.NewVersion(1, 1)
 	taken := configuration.Changes{Updated: []configuration.Resource{{Service: "s", Version: version, Settings: []byte(`{}`)}, {Service: "other", Version: version}}}
-	if rejected := live.take(taken, version); len(rejected) != 1 || rejected[0] != (configuration.Rejection{Service: "s", Version: version, Reason: "no"}) {
+	if rejected := live.apply(taken, version); len(rejected) != 1 || rejected[0] != (configuration.Rejection{Service: "s", Version: version, Reason: "no"}) {
 		t.Errorf("rejected: found %v, wanted s for the reason given", rejected)
 	}
 	refusal = nil
-	if rejected := live.take(configuration.Changes{}, version); len(rejected) != 0 || live.services[0].inForce == nil {
+	if rejected := live.apply(configuration.Changes{}, version); len(rejected) != 0 || live.services[0].inForce == nil {
 		t.Errorf("rejected: found %v and %+v in force, wanted s in force", rejected, live.services[0].inForce)
 	}
 }
--- a/internal/sidecar/proxy_test.go
+++ b/internal/sidecar/proxy_test.go
@@ -96,12 +96,12 @@
 	if s, err = StartWith(cfg, Options{ListProxy: proxy.addr(), ListSource: "delft"}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.front.Listener().Close(); s.stop() })
+	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
 	return s, proxy, discovery
 }
 
 func (s *Sidecar) hasVersion(index int64) func() bool {
-	return func() bool { n, _ := s.eng.EndpointVersion(); return n == index }
+	return func() bool { n, _ := s.dispatcher.EndpointVersion(); return n == index }
 }
 
 // A sidecar watches its host's proxy; discovery is watched only while that fails, and
@@ -138,7 +138,7 @@
 	eventually(t, "the drain", s.hasVersion(20))
 	proxy.set(func() { proxy.index, proxy.status, proxy.snapshotAlways = 15, "active", true })
 	eventually(t, "discovery is asked", func() bool { return discovery.calls() > 0 })
-	if index, _ := s.eng.EndpointVersion(); index != 20 {
+	if index, _ := s.dispatcher.EndpointVersion(); index != 20 {
 		t.Errorf("version %d after 20", index)
 	}
 	id := newID()
@@ -160,7 +160,7 @@
 	s, proxy, discovery = startWithProxy(t, "delft")
 	eventually(t, "the proxy's list", s.hasVersion(9))
 	moved := startListServer(t, "", 4, discovery.up)
-	cfg := s.cfg
+	cfg := s.config
 	cfg.Discovery = moved.addr()
 	s.Reload(cfg)
 	eventually(t, "the new one's list", s.hasVersion(4))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -128,7 +128,7 @@
 	}
 	text, _ := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
-		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": leastSockets},
+		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": minSockets},
 		"known":    json.RawMessage(listText(3, known...)),
 		"settings": settings,
 	})
@@ -143,7 +143,7 @@
 
 func dialClient(t *testing.T, s *Sidecar) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Addr())
+	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
-	serve, refuse := clientShares(s.cfg.Sockets)
+	serve, refuse := clientSockets(s.config.Sockets)
 	most := serve + refuse
 	for range 3 * most {
 		dialClient(t, s)
@@ -245,7 +245,7 @@
 			t.Fatalf("answered %v %q", r, body)
 		}
 	}
-	spare := s.cfg.Sockets / 6
+	spare := s.config.Sockets / 6
 	for range spare + 1 {
 		c := dialClient(t, s)
 		ask(c)
@@ -262,7 +262,7 @@
 
 // idleClients counts the connections that asked and are idle.
 func idleClients(s *Sidecar) int {
-	return s.front.Idle()
+	return s.httpServer.Idle()
 }
 
 // A client that says nothing, or half of something, is let go.
@@ -288,7 +288,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "no connection is kept", s.front.Empty)
+	eventually(t, "no connection is kept", s.httpServer.Empty)
 }
 
 // A slow client that makes progress is not cut off.
@@ -326,7 +326,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "the budget is whole again", func() bool { return int64(s.front.Bodies()) == 8<<20 })
+	eventually(t, "the budget is whole again", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
 	wantServed(t, s)
 }
 
--- a/internal/sidecar/unwritten_test.go
+++ b/internal/sidecar/unwritten_test.go
@@ -54,7 +54,7 @@
 			breaks.Store(true)
 			one, two := startBreaking(t, &breaks), startBreaking(t, &breaks)
 			s := startSidecar(t, one.addr(), two.addr())
-			s.pool.Hold = time.Second // for a slow machine
+			s.httpPool.Hold = time.Second // for a slow machine
 			id, text := unsafeRequest(framing)
 			if r, body := exchange(t, s, text); r == nil || r.StatusCode != http.StatusOK || body != id {
 				t.Errorf("answered %v %q", r, body)
@@ -92,7 +92,7 @@
 func TestLastByteIsHeldByDefault(t *testing.T) {
 	t.Parallel()
 	s := startSidecar(t, startUpstream(t, good).addr())
-	if hold := s.pool.Hold; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
+	if hold := s.httpPool.Hold; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
 		t.Errorf("the last byte is held for %v, want about 1ms", hold)
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -56,7 +56,7 @@
 }
 
 func poolOpen(s *Sidecar) int {
-	open, _ := s.pool.Counts()
+	open, _ := s.httpPool.Counts()
 	return open
 }
 
