--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/coordination/server"
-	"otterspring/internal/inject"
 )
 
 // patience detects a hang; nothing is measured by it.
@@ -122,7 +122,7 @@
 	}
 	defer log.Close()
 	c := exec.Command(program, args...)
-	c.Env = append(os.Environ(), inject.Env+"="+r.folder, inject.Role+"="+role)
+	c.Env = append(os.Environ(), faultinjection.DirectoryEnv+"="+r.folder, faultinjection.RoleEnv+"="+role)
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
 	if err := c.Start(); err != nil {
--- a/cmd/otterspring/main.go
+++ b/cmd/otterspring/main.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"otterspring/internal/cli"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 var (
@@ -29,8 +29,8 @@
 
 // run returns the exit code.
 func run(args []string, out, errw io.Writer) int {
-	var log *logs.Options
-	logger := func() *slog.Logger { return logs.New(out, *log) }
+	var log *logging.Options
+	logger := func() *slog.Logger { return logging.New(out, *log) }
 	root := cli.Root("otterspring", "the operators' command",
 		"otterspring checks files before they are used, runs fleets of sidecars, councils and\n"+
 			"relays of configuration, and changes the settings of services. Exit codes:\n"+
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -21,7 +21,7 @@
 	"otterspring/internal/cli"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/scale"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/sidecar/entrypoint"
 )
 
@@ -77,7 +77,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var log logs.Options
+	var log logging.Options
 	err := execute(ctx, args, os.Stdout, os.Stderr, &log)
 	code := 1
 	switch {
@@ -95,7 +95,7 @@
 }
 
 // execute runs the command that args name.
-func execute(ctx context.Context, args []string, out, errw io.Writer, log *logs.Options) error {
+func execute(ctx context.Context, args []string, out, errw io.Writer, log *logging.Options) error {
 	var subs []*cobra.Command
 	for i := range commands {
 		subs = append(subs, commands[i].cobra(out))
--- a/cmd/rig/main_test.go
+++ b/cmd/rig/main_test.go
@@ -17,7 +17,7 @@
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/scale"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // selfWord is the variable by which a test starts this program as the rig.
@@ -171,7 +171,7 @@
 }
 
 func rigged(c context.Context, args []string, out io.Writer) error {
-	return execute(c, args, out, io.Discard, &logs.Options{})
+	return execute(c, args, out, io.Discard, &logging.Options{})
 }
 
 // Each rig has its help, and shells complete its flags.
--- a/cmd/sandhinge/build_test.go
+++ b/cmd/sandhinge/build_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // The line that deploy/balancer.toml builds with makes both programs that the
@@ -59,7 +59,7 @@
 			t.Errorf("%s: linked against %v (%v), wanted the C library", name, libs, err)
 		}
 		f.Close()
-		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || bytes.Contains(text, []byte(inject.Mark)) {
+		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || bytes.Contains(text, []byte(faultinjection.Mark)) {
 			t.Errorf("%s: faults can be brought into what is shipped (%v)", name, err)
 		}
 	}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,13 +5,13 @@
 import (
 	"os"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/wire"
 )
 
 func main() {
 	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
-		logs.New(os.Stderr, logs.Options{}).Error("wirehost ends", "why", err)
+		logging.New(os.Stderr, logging.Options{}).Error("wirehost ends", "why", err)
 		os.Exit(1)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // ErrUsage is a call whose words are off; ErrSaid a fault that stands in the
@@ -72,8 +72,8 @@
 }
 
 // LogFlags gives a program and all its commands -log-format and -log-level.
-func LogFlags(root *cobra.Command) *logs.Options {
-	o := &logs.Options{}
+func LogFlags(root *cobra.Command) *logging.Options {
+	o := &logging.Options{}
 	f := flag.NewFlagSet("", flag.ContinueOnError)
 	o.Flags(f)
 	root.PersistentFlags().AddGoFlagSet(f)
@@ -82,9 +82,9 @@
 
 // Fail says why a program ends: a plain line for a person, an object where the
 // log is one of objects.
-func Fail(errw io.Writer, program string, o *logs.Options, err error) {
+func Fail(errw io.Writer, program string, o *logging.Options, err error) {
 	if o.JSON {
-		logs.New(errw, *o).Error(program+" ends", "why", err)
+		logging.New(errw, *o).Error(program+" ends", "why", err)
 		return
 	}
 	fmt.Fprintf(errw, "%s: %v\n", program, err)
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,6 +1,6 @@
 // Package disk is the one way in which the program uses files: whole
 // replacements, appends, locks and reads. Builds with the tag "faults" can make
-// each fail (package inject); all others call the system as it is.
+// each fail (package faultinjection); all others call the system as it is.
 package disk
 
 import (
@@ -9,12 +9,12 @@
 	"os"
 	"path/filepath"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // Read reads a file whole.
 func Read(path string) ([]byte, error) {
-	if err := inject.Disk("read", path); err != nil {
+	if err := faultinjection.DiskError("read", path); err != nil {
 		return nil, err
 	}
 	return os.ReadFile(path)
@@ -32,7 +32,7 @@
 	}
 	err = write(tmp, path, text)
 	if err == nil && durable {
-		if err = inject.Disk("sync", path); err == nil {
+		if err = faultinjection.DiskError("sync", path); err == nil {
 			err = tmp.Sync()
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 func create(path string) (*os.File, error) {
-	if err := inject.Disk("open", path); err != nil {
+	if err := faultinjection.DiskError("open", path); err != nil {
 		return nil, err
 	}
 	// By the process's number: two processes of an instance may write beside each
@@ -60,10 +60,10 @@
 }
 
 func write(f *os.File, path string, text []byte) error {
-	if err := inject.Disk("write", path); err != nil {
+	if err := faultinjection.DiskError("write", path); err != nil {
 		return err
 	}
-	if inject.Torn(path) {
+	if faultinjection.TornWrite(path) {
 		f.Write(text[:len(text)/2])
 		return errors.New(path + ": torn")
 	}
@@ -73,7 +73,7 @@
 
 // syncDir puts a folder's entries on the disk.
 func syncDir(dir string) error {
-	if err := inject.Disk("sync", dir); err != nil {
+	if err := faultinjection.DiskError("sync", dir); err != nil {
 		return err
 	}
 	d, err := os.Open(dir)
@@ -85,7 +85,7 @@
 
 // Rename gives a file another name, in place of what has it.
 func Rename(from, to string) error {
-	if err := inject.Disk("rename", to); err != nil {
+	if err := faultinjection.DiskError("rename", to); err != nil {
 		return err
 	}
 	return os.Rename(from, to)
@@ -93,7 +93,7 @@
 
 // Open opens a file as os.OpenFile does.
 func Open(path string, flag int, mode os.FileMode) (*os.File, error) {
-	if err := inject.Disk("open", path); err != nil {
+	if err := faultinjection.DiskError("open", path); err != nil {
 		return nil, err
 	}
 	return os.OpenFile(path, flag, mode)
@@ -101,7 +101,7 @@
 
 // MkdirAll makes a folder and those above it.
 func MkdirAll(path string, mode os.FileMode) error {
-	if err := inject.Disk("mkdir", path); err != nil {
+	if err := faultinjection.DiskError("mkdir", path); err != nil {
 		return err
 	}
 	return os.MkdirAll(path, mode)
--- a/internal/disk/on_test.go
+++ b/internal/disk/on_test.go
@@ -7,14 +7,14 @@
 	"path/filepath"
 	"testing"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // Whatever fails while a file is replaced, the old one stands whole and nothing
 // is left beside it.
 func TestReplaceUnderFaults(t *testing.T) {
 	faults, dir := t.TempDir(), t.TempDir()
-	t.Setenv(inject.Env, faults)
+	t.Setenv(faultinjection.DirectoryEnv, faults)
 	t.Setenv("RELAY_NAME", "n1")
 	path := filepath.Join(dir, "state.json")
 	if err := Replace(path, []byte("old"), true); err != nil {
--- a/internal/inject/inject.go
+++ b/internal/faultinjection/faultinjection.go
@@ -16,13 +16,13 @@
 //
 // The file is read anew when it has changed. A point that struck leaves the file
 // NAME.ID with the process's number, and strikes no second time under that ID.
-package inject
+package faultinjection
 
 // Env names the folder of the faults' files, Role the process where it has no
 // RELAY_NAME.
 const (
-	Env  = "OTTERSPRING_INJECT"
-	Role = "OTTERSPRING_ROLE"
+	DirectoryEnv = "OTTERSPRING_INJECT"
+	RoleEnv      = "OTTERSPRING_ROLE"
 )
 
 // Mark stands in every binary that has faults compiled in, and in no other.
--- a/internal/inject/inject_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -1,4 +1,4 @@
-package inject
+package faultinjection
 
 import (
 	"io/fs"
@@ -21,7 +21,7 @@
 			}
 			rel, _ := filepath.Rel(root, path)
 			switch {
-			case d.IsDir() && (rel == "internal/lab" || rel == "internal/inject"):
+			case d.IsDir() && (rel == "internal/lab" || rel == "internal/faultinjection"):
 				return fs.SkipDir
 			case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
@@ -45,11 +45,11 @@
 	at := regexp.MustCompile(`"((?:handover|fleet|council|owner|list)-[a-z-]+|start)"`)
 	found := map[string]int{}
 	for _, text := range sources(t) {
-		if !strings.Contains(text, "inject.At(") {
+		if !strings.Contains(text, "faultinjection.At(") {
 			continue
 		}
 		for _, line := range strings.Split(text, "\n") {
-			if !strings.Contains(line, "inject.At(") && !strings.Contains(line, "point string") {
+			if !strings.Contains(line, "faultinjection.At(") && !strings.Contains(line, "point string") {
 				continue
 			}
 			for _, m := range at.FindAllStringSubmatch(line, -1) {
--- a/internal/inject/on.go
+++ b/internal/faultinjection/on.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package inject
+package faultinjection
 
 import (
 	"context"
@@ -41,10 +41,10 @@
 
 // path is the process's own file; empty where none is kept.
 func path() string {
-	dir := os.Getenv(Env)
+	dir := os.Getenv(DirectoryEnv)
 	name := os.Getenv("RELAY_NAME")
 	if name == "" {
-		name = os.Getenv(Role)
+		name = os.Getenv(RoleEnv)
 	}
 	if dir == "" || name == "" || mark == "" {
 		return ""
@@ -138,10 +138,10 @@
 	}
 }
 
-// Way is asked before a process sends something to an address. On one that is cut
+// BeforeSend is asked before a process sends something to an address. On one that is cut
 // it stands, as what is sent again and again does, until the way is whole or ctx
 // ends.
-func Way(ctx context.Context, to string) error {
+func BeforeSend(ctx context.Context, to string) error {
 	for {
 		state.mu.Lock()
 		load()
@@ -164,8 +164,8 @@
 // wayAgain is how often a way that is cut is tried.
 const wayAgain = 50 * time.Millisecond
 
-// Wall is the wall clock, with no monotonic reading in it.
-func Wall() time.Time {
+// WallClock is the wall clock, with no monotonic reading in it.
+func WallClock() time.Time {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	load()
@@ -176,8 +176,8 @@
 
 var failures = map[string]error{"enospc": syscall.ENOSPC, "eio": syscall.EIO, "erofs": syscall.EROFS, "enoent": syscall.ENOENT}
 
-// Disk is asked before an operation on a file.
-func Disk(op, path string) error {
+// DiskError is asked before an operation on a file.
+func DiskError(op, path string) error {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	load()
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// Torn tells whether a write to path is to end in its middle.
-func Torn(path string) bool {
+// TornWrite tells whether a write to path is to end in its middle.
+func TornWrite(path string) bool {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	load()
--- a/internal/inject/on_test.go
+++ b/internal/faultinjection/on_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package inject
+package faultinjection
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 // The wall clock steps and drifts by the file; the monotonic clock stays true.
 func TestWallStepsAndTrueTimeDoesNot(t *testing.T) {
 	dir := t.TempDir()
-	t.Setenv(Env, dir)
+	t.Setenv(DirectoryEnv, dir)
 	t.Setenv("RELAY_NAME", "n1")
 	set := func(text string) {
 		t.Helper()
@@ -29,7 +29,7 @@
 	for text, want := range map[string]time.Duration{"wall -1h\n": -time.Hour, "wall 24h\n": 24 * time.Hour, "drift 0.5\n": 0} {
 		set(text)
 		before := time.Now()
-		off := Wall().Sub(time.Now().Round(0))
+		off := WallClock().Sub(time.Now().Round(0))
 		if d := time.Since(before); d < 0 || d > time.Minute {
 			t.Errorf("%q: true time went by %v", text, d)
 		}
@@ -38,17 +38,17 @@
 		}
 	}
 	set("disk rename eio x.json\ndisk write enospc\n")
-	if err := Disk("rename", "/a/x.json"); !errors.Is(err, syscall.EIO) {
+	if err := DiskError("rename", "/a/x.json"); !errors.Is(err, syscall.EIO) {
 		t.Errorf("rename of x.json: %v, wanted EIO", err)
 	}
-	if err := Disk("rename", "/a/y"); err != nil {
+	if err := DiskError("rename", "/a/y"); err != nil {
 		t.Errorf("rename of another: %v", err)
 	}
-	if err := Disk("write", "/a/y"); !errors.Is(err, syscall.ENOSPC) {
+	if err := DiskError("write", "/a/y"); !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("write: %v, wanted ENOSPC", err)
 	}
 	set("\n")
-	if err := Disk("write", "/a/y"); err != nil {
+	if err := DiskError("write", "/a/y"); err != nil {
 		t.Errorf("a fault that is over: %v", err)
 	}
 }
--- a/internal/fleet/configuration/servicefile/servicefile.go
+++ b/internal/fleet/configuration/servicefile/servicefile.go
@@ -26,7 +26,7 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // File is a service and its settings.
@@ -112,7 +112,7 @@
 // Load reads and parses a file, and validates it as a coordination cluster and a sidecar
 // will.
 func Load(path string) (*File, error) {
-	text, err := strictfile.Read(path)
+	text, err := strictconfig.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -120,10 +120,10 @@
 }
 
 // Decode is Load for the text of a file; name is the file's name in errors. Errors are
-// one line: a *strictfile.Error, or one that wraps a *configuration.ValidationError.
+// one line: a *strictconfig.Error, or one that wraps a *configuration.ValidationError.
 func Decode(name string, text []byte) (*File, error) {
 	var file document
-	if err := strictfile.Decode(name, text, &file); err != nil {
+	if err := strictconfig.Decode(name, text, &file); err != nil {
 		return nil, err
 	}
 	if err := configuration.ValidateName("service", file.Service); err != nil {
--- a/internal/fleet/coordination/client/client.go
+++ b/internal/fleet/coordination/client/client.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 const (
@@ -194,7 +194,7 @@
 	if e.Cluster != "" {
 		req.Header.Set(ClusterHeader, e.Cluster)
 	}
-	if err := inject.Way(ctx, e.Address); err != nil {
+	if err := faultinjection.BeforeSend(ctx, e.Address); err != nil {
 		return err
 	}
 	r, err := e.HTTP.Do(req)
--- a/internal/fleet/coordination/server/config.go
+++ b/internal/fleet/coordination/server/config.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"otterspring/internal/fleet/coordination"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // Config is the file of a cluster, the same for all members. The operators' pages call
@@ -34,11 +34,11 @@
 // maxClusterNameBytes leaves room in a name for the number behind it.
 const maxClusterNameBytes = coordination.MaxNameBytes / 2
 
-// LoadConfig reads and checks a cluster's file. Its error is a strictfile.Error with
+// LoadConfig reads and checks a cluster's file. Its error is a strictconfig.Error with
 // the place, what was found and what was expected.
 func LoadConfig(path string) (*Config, error) {
 	config := &Config{Tick: 100 * time.Millisecond, Lease: 5 * time.Second, Margin: 500 * time.Millisecond}
-	if err := strictfile.Load(path, config); err != nil {
+	if err := strictconfig.Load(path, config); err != nil {
 		return nil, err
 	}
 	config.Path = path
@@ -92,7 +92,7 @@
 }
 
 func (c *Config) invalid(key, found, wanted string) error {
-	return &strictfile.Error{File: c.Path, Key: key, Found: found, Wanted: wanted}
+	return &strictconfig.Error{File: c.Path, Key: key, Found: found, Wanted: wanted}
 }
 
 // Addresses returns those of all members, in the order of the file.
--- a/internal/fleet/coordination/server/handler.go
+++ b/internal/fleet/coordination/server/handler.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/inject"
 )
 
 // maxRequestBytes bounds the body of a client's request.
@@ -182,7 +182,7 @@
 		}
 		wait := time.Until(deadline)
 		if !shouldWait(request, response) || wait <= 0 {
-			inject.At("council-answers")
+			faultinjection.At("council-answers")
 			w.Header().Set("Content-Type", "application/json")
 			s.writeResponse(w, http.StatusOK, response)
 			return
--- a/internal/fleet/coordination/server/server.go
+++ b/internal/fleet/coordination/server/server.go
@@ -16,9 +16,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/inject"
 )
 
 const (
@@ -235,11 +235,11 @@
 		if !ok {
 			break
 		}
-		inject.At("council-stores")
+		faultinjection.At("council-stores")
 		if err := s.storage.save(ready); err != nil {
 			return err
 		}
-		inject.At("council-stored")
+		faultinjection.At("council-stored")
 		for _, message := range ready.Messages {
 			s.send(ctx, message)
 		}
--- a/internal/fleet/coordination/server/startup.go
+++ b/internal/fleet/coordination/server/startup.go
@@ -12,9 +12,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/inject"
 )
 
 const (
@@ -132,7 +132,7 @@
 		return position, err
 	}
 	req.Header.Set(client.ClusterHeader, s.cluster)
-	if err := inject.Way(ctx, address); err != nil {
+	if err := faultinjection.BeforeSend(ctx, address); err != nil {
 		return position, err
 	}
 	r, err := s.http.Do(req)
--- a/internal/fleet/coordination/server/storage.go
+++ b/internal/fleet/coordination/server/storage.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"otterspring/internal/disk"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
-	"otterspring/internal/inject"
 )
 
 // Buckets and keys of a member's file. Older versions read and write them: they do not
@@ -92,7 +92,7 @@
 }
 
 func openDatabase(path string) (*storage, error) {
-	if err := inject.Disk("open", path); err != nil {
+	if err := faultinjection.DiskError("open", path); err != nil {
 		return nil, err
 	}
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
@@ -185,10 +185,10 @@
 }
 
 func (s *storage) update(write func(*bolt.Tx) error) error {
-	if err := inject.Disk("write", s.path); err != nil {
+	if err := faultinjection.DiskError("write", s.path); err != nil {
 		return err
 	}
-	if err := inject.Disk("sync", s.path); err != nil {
+	if err := faultinjection.DiskError("sync", s.path); err != nil {
 		return err
 	}
 	s.syncs++
--- a/internal/fleet/coordination/server/transport.go
+++ b/internal/fleet/coordination/server/transport.go
@@ -13,9 +13,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/inject"
 )
 
 const (
@@ -157,7 +157,7 @@
 		return err
 	}
 	req.Header.Set(client.ClusterHeader, s.cluster)
-	if err := inject.Way(ctx, address); err != nil {
+	if err := faultinjection.BeforeSend(ctx, address); err != nil {
 		return err
 	}
 	r, err := s.http.Do(req)
--- a/internal/fleet/relay/fake_cluster_test.go
+++ b/internal/fleet/relay/fake_cluster_test.go
@@ -16,7 +16,7 @@
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/testkit"
 )
 
@@ -175,7 +175,7 @@
 func startRelay(tb testing.TB, file *File) *runningRelay {
 	tb.Helper()
 	r := &runningRelay{tb: tb, done: make(chan struct{})}
-	relay, err := Open(file, logs.New(&r.log, logs.Options{Level: slog.LevelDebug}))
+	relay, err := Open(file, logging.New(&r.log, logging.Options{Level: slog.LevelDebug}))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/fleet/relay/file.go
+++ b/internal/fleet/relay/file.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // File is a relay's settings, in TOML. LoadFile sets the defaults and validates.
@@ -38,7 +38,7 @@
 // zone whose relay has failed.
 const defaultMaxConnections = 4096
 
-// LoadFile reads, parses and validates a relay's file. Its error is a *strictfile.Error, or
+// LoadFile reads, parses and validates a relay's file. Its error is a *strictconfig.Error, or
 // the one of reading the file.
 func LoadFile(path string) (*File, error) {
 	file := &File{
@@ -48,11 +48,11 @@
 		DrainTime:            2 * time.Second,
 		WriteTimeout:         5 * time.Second,
 	}
-	text, err := strictfile.Read(path)
+	text, err := strictconfig.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	lines, faults := strictfile.DecodeAll(path, text, file)
+	lines, faults := strictconfig.DecodeAll(path, text, file)
 	if len(faults) > 0 {
 		return nil, faults[0]
 	}
@@ -64,16 +64,16 @@
 }
 
 // validate checks what the limits of single keys don't.
-func (f *File) validate() *strictfile.Error {
+func (f *File) validate() *strictconfig.Error {
 	names := []struct{ key, value string }{{"region", f.Region}, {"zone", f.Zone}, {"name", f.Name}}
 	for _, name := range names {
 		if configuration.ValidateName(name.key, name.value) != nil {
 			wanted := fmt.Sprintf("1 to %d printable bytes without blanks", configuration.MaxNameBytes)
-			return &strictfile.Error{Key: name.key, Found: fmt.Sprintf("%.80q", name.value), Wanted: wanted}
+			return &strictconfig.Error{Key: name.key, Found: fmt.Sprintf("%.80q", name.value), Wanted: wanted}
 		}
 	}
 	if len(f.Members) == 0 {
-		return &strictfile.Error{Key: "members", Found: "none", Wanted: "the address of each member of the cluster"}
+		return &strictconfig.Error{Key: "members", Found: "none", Wanted: "the address of each member of the cluster"}
 	}
 	seen := map[string]bool{}
 	for _, address := range append([]string{f.Listen}, f.Members...) {
@@ -84,9 +84,9 @@
 		parsed, err := netip.ParseAddrPort(address)
 		switch {
 		case err != nil || parsed.Port() == 0:
-			return &strictfile.Error{Key: key, Found: fmt.Sprintf("%.80q", address), Wanted: "an IP address and a port"}
+			return &strictconfig.Error{Key: key, Found: fmt.Sprintf("%.80q", address), Wanted: "an IP address and a port"}
 		case seen[parsed.String()]:
-			return &strictfile.Error{Key: key, Found: parsed.String() + " twice", Wanted: "different addresses for this relay and each member"}
+			return &strictconfig.Error{Key: key, Found: parsed.String() + " twice", Wanted: "different addresses for this relay and each member"}
 		}
 		seen[parsed.String()] = true
 	}
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -13,7 +13,7 @@
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // Times of the calls to the cluster. They limit the age of the configuration to 0.95 s
@@ -165,7 +165,7 @@
 		level = slog.LevelWarn // a configuration mistake, whatever the other members respond
 	}
 	//nolint:sloglint // the cause is an attribute: the rate of these lines is limited per member
-	f.log.Log(ctx, level, "cluster member failed", logs.Cause("member "+address), slog.String("address", address), slog.Any("error", err))
+	f.log.Log(ctx, level, "cluster member failed", logging.Cause("member "+address), slog.String("address", address), slog.Any("error", err))
 	mean := memberBackoff
 	if f.failures%len(f.file.Members) == 0 {
 		mean = roundBackoff
--- a/internal/fleet/relay/process_test.go
+++ b/internal/fleet/relay/process_test.go
@@ -20,7 +20,7 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/testkit"
 )
 
@@ -44,7 +44,7 @@
 	file, err := LoadFile(path)
 	if err == nil {
 		var r *Relay
-		if r, err = Open(file, logs.New(os.Stderr, logs.Options{})); err == nil {
+		if r, err = Open(file, logging.New(os.Stderr, logging.Options{})); err == nil {
 			err = r.Run(ctx)
 		}
 	}
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -16,7 +16,7 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 const (
@@ -358,7 +358,7 @@
 func TestAgeIsOfTheVersionInTheResponse(t *testing.T) {
 	t.Parallel()
 	cluster := newFakeCluster(t, "west#1")
-	r, err := Open(newTestFile(cluster.address()), logs.New(io.Discard, logs.Options{}))
+	r, err := Open(newTestFile(cluster.address()), logging.New(io.Discard, logging.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/supervisor/everywhere.go
+++ b/internal/fleet/supervisor/everywhere.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/fleet/rollout"
-	"otterspring/internal/inject"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // What a supervisor does where its hosts have a council. It may be the owner of the
@@ -99,7 +99,7 @@
 		}
 		a, err := s.asks(ctx, q, hearFor+effectFor)
 		if err != nil {
-			s.log.Warn(fmt.Sprintf("council: not heard of, going on by itself: %v", err), logs.Cause("council"))
+			s.log.Warn(fmt.Sprintf("council: not heard of, going on by itself: %v", err), logging.Cause("council"))
 			pause(ctx, time.Second/2)
 			continue
 		}
@@ -165,7 +165,7 @@
 		err = errors.New(a.Rejection)
 	}
 	if err != nil {
-		s.log.Warn(fmt.Sprintf("council: facts of %s: %v", s.file.Council.Host, err), logs.Cause("facts"))
+		s.log.Warn(fmt.Sprintf("council: facts of %s: %v", s.file.Council.Host, err), logging.Cause("facts"))
 		pause(ctx, time.Second/2)
 	}
 	return err == nil
@@ -305,7 +305,7 @@
 		var f fact
 		json.Unmarshal(facts[step.Host], &f)
 		wg.Go(func() {
-			inject.At("owner-acts") // a stop here is longer than any lease: the fence is there for it
+			faultinjection.At("owner-acts") // a stop here is longer than any lease: the fence is there for it
 			do := "restart"
 			if step.Reload {
 				do = "reload"
@@ -313,9 +313,9 @@
 			t, err := o.effect(f.Address, effect{Do: do, Instance: step.Instance, Order: step.RolloutID, Program: step.Program})
 			switch {
 			case err != nil:
-				o.s.log.Warn(fmt.Sprintf("council: %s of %s: %v", step.Instance, step.Host, err), logs.Cause("effect"))
+				o.s.log.Warn(fmt.Sprintf("council: %s of %s: %v", step.Instance, step.Host, err), logging.Cause("effect"))
 			case t.Refused != "":
-				o.s.log.Warn(fmt.Sprintf("council: %s of %s: refused: %s", step.Instance, step.Host, t.Refused), logs.Cause("refused"))
+				o.s.log.Warn(fmt.Sprintf("council: %s of %s: refused: %s", step.Instance, step.Host, t.Refused), logging.Cause("refused"))
 			}
 		})
 	}
@@ -388,7 +388,7 @@
 		}
 		s.next.order, s.next.which = e.Order, which[0]
 		s.say("takes %s of %s for order %s of %s, epoch %v", e.Do, e.Instance, e.Order, e.Owner, e.Epoch)
-		inject.At("fleet-takes-order")
+		faultinjection.At("fleet-takes-order")
 	default:
 		return refused(fmt.Errorf("found %q, wanted look, restart, reload or list", e.Do))
 	}
--- a/internal/fleet/supervisor/file.go
+++ b/internal/fleet/supervisor/file.go
@@ -17,7 +17,7 @@
 
 	"otterspring/internal/disk"
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // MostInstances is how many instances one supervisor takes.
@@ -114,7 +114,7 @@
 // LoadFile reads a fleet file and checks it whole.
 func LoadFile(path string) (*File, error) {
 	f := defaults()
-	if err := strictfile.Load(path, &f); err != nil {
+	if err := strictconfig.Load(path, &f); err != nil {
 		return nil, err
 	}
 	f.Path = path
@@ -194,7 +194,7 @@
 }
 
 func (f *File) bad(key, found, wanted string) error {
-	return &strictfile.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
+	return &strictconfig.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
 }
 
 // Specs returns the instances. Names and addresses are unique.
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/sidecar/entrypoint"
 )
 
@@ -47,7 +47,7 @@
 		f, err := LoadFile(os.Args[1])
 		if err == nil {
 			var s *Supervisor
-			if s, err = New(f, logs.New(os.Stderr, logs.Options{})); err == nil {
+			if s, err = New(f, logging.New(os.Stderr, logging.Options{})); err == nil {
 				err = s.Run(context.Background())
 			}
 		}
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	r := &running{file: f, out: &lockedBuffer{}, done: make(chan error, 1)}
-	s, err := New(f, logs.New(r.out, logs.Options{}))
+	s, err := New(f, logging.New(r.out, logging.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -393,7 +393,7 @@
 	}
 	before := pids(r.until(t, "3 instances, 3 up"))
 	state := filepath.Join(f.Directory, "state.json")
-	if _, err := New(f, logs.New(r.out, logs.Options{})); err == nil || !strings.Contains(err.Error(), "another supervisor") {
+	if _, err := New(f, logging.New(r.out, logging.Options{})); err == nil || !strings.Contains(err.Error(), "another supervisor") {
 		t.Errorf("a second supervisor: %v", err)
 	}
 	first.Process.Kill()
@@ -535,7 +535,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(f, logs.New(&bytes.Buffer{}, logs.Options{})); err == nil || !strings.Contains(err.Error(), "no socket") {
+	if _, err := New(f, logging.New(&bytes.Buffer{}, logging.Options{})); err == nil || !strings.Contains(err.Error(), "no socket") {
 		t.Errorf("a file at the control socket: %v", err)
 	}
 }
--- a/internal/fleet/supervisor/list.go
+++ b/internal/fleet/supervisor/list.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"otterspring/internal/bootclock"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/endpointlist"
-	"otterspring/internal/inject"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // The supervisor's part in relaying discovery's list. The owner of a zone's duty
@@ -130,7 +130,7 @@
 			continue
 		}
 		if fallback {
-			p.supervisor.log.Info("list: no heartbeat of an owner, watching discovery from this host", logs.Cause("list fallback"))
+			p.supervisor.log.Info("list: no heartbeat of an owner, watching discovery from this host", logging.Cause("list fallback"))
 		}
 		err := p.fetch(ctx, since, timeout)
 		p.recordAnswer(err)
@@ -138,7 +138,7 @@
 			failures, timeout = 0, listWatchTimeout
 			continue
 		}
-		p.supervisor.log.Warn(fmt.Sprintf("list: discovery at %s: %v", p.settings.Discovery, err), logs.Cause("discovery"))
+		p.supervisor.log.Warn(fmt.Sprintf("list: discovery at %s: %v", p.settings.Discovery, err), logging.Cause("discovery"))
 		failures = min(failures+1, maxListRetryShift)
 		mean := listRetryBase << failures
 		pause(ctx, mean/2+time.Duration(rand.Int64N(int64(mean))))
@@ -171,7 +171,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := inject.Way(ctx, p.settings.Discovery); err != nil {
+	if err := faultinjection.BeforeSend(ctx, p.settings.Discovery); err != nil {
 		return err
 	}
 	text, err := get(ctx, url)
@@ -217,7 +217,7 @@
 	if newer {
 		close(p.changed)
 		p.changed = make(chan struct{})
-		p.supervisor.log.Debug(fmt.Sprintf("list: version %d of %s", p.cache.Version, sender), logs.Cause("list"))
+		p.supervisor.log.Debug(fmt.Sprintf("list: version %d of %s", p.cache.Version, sender), logging.Cause("list"))
 	}
 	return err
 }
@@ -245,7 +245,7 @@
 	}
 	if p.cache.Version != before {
 		p.supervisor.say("applied list version %d of %s, epoch %v", p.cache.Version, e.Owner, e.Epoch)
-		inject.At("list-taken")
+		faultinjection.At("list-taken")
 	}
 	return p.cache.Version, nil
 }
@@ -336,14 +336,14 @@
 	u := p.cache.Since(min(since, p.cache.Version))
 	message := &listPush{Source: u.Source, From: u.From, Text: u.Encode(), Fresh: p.watcher.Fresh(bootclock.Now())}
 	p.mu.Unlock()
-	inject.At("list-tells") // a stop here outlasts any lease: fence and version are there for it
+	faultinjection.At("list-tells") // a stop here outlasts any lease: fence and version are there for it
 	t, err := r.effect(address, effect{Do: "list", List: message})
 	switch {
 	case err != nil:
-		p.supervisor.log.Debug(fmt.Sprintf("list: %s: %v", address, err), logs.Cause("list"+address))
+		p.supervisor.log.Debug(fmt.Sprintf("list: %s: %v", address, err), logging.Cause("list"+address))
 		return -1
 	case t.Refused != "":
-		p.supervisor.log.Warn(fmt.Sprintf("list: %s: refused: %s", address, t.Refused), logs.Cause("refused"+address))
+		p.supervisor.log.Warn(fmt.Sprintf("list: %s: refused: %s", address, t.Refused), logging.Cause("refused"+address))
 		return -1
 	}
 	return t.Index
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -23,11 +23,11 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/internal/disk"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/inject"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/unixsocket"
 	"otterspring/internal/wallclock"
 )
@@ -209,7 +209,7 @@
 
 func (s *Supervisor) say(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
-	s.log.Info(line, logs.Cause(cause(format, args)))
+	s.log.Info(line, logging.Cause(cause(format, args)))
 	s.said = append(s.said, wallclock.Now().Format("15:04:05 ")+line)
 	if n := len(s.said) - mostSaid; n > 0 {
 		s.said = s.said[n:]
@@ -330,7 +330,7 @@
 	s.send(s.ctx, func(now time.Duration) []lifecycle.Action {
 		unix.Close(p.fd)
 		delete(s.procs[i], p.id)
-		inject.At("fleet-saw-the-end")
+		faultinjection.At("fleet-saw-the-end")
 		s.save()
 		if !clean {
 			line := ""
@@ -411,14 +411,14 @@
 		err = s.addressFree(a.Instance, spec.Listen)
 	}
 	if err == nil {
-		inject.At("fleet-starts")
+		faultinjection.At("fleet-starts")
 		cmd, p, e := spawn(program, spec.Args, env, s.logPath(a.Instance))
 		if err = e; err == nil {
 			p.id, p.order, p.program = a.Process, order, program
 			s.procs[a.Instance][p.id] = p
-			inject.At("fleet-started")
+			faultinjection.At("fleet-started")
 			s.save()
-			inject.At("fleet-saved")
+			faultinjection.At("fleet-saved")
 			s.watch(a.Instance, p, spec.Listen, cmd.Wait)
 			return nil
 		}
@@ -446,7 +446,7 @@
 	go func() {
 		defer s.wg.Done()
 		if awaitUp(ctx, addr, func(u upState) bool { return u.pid == p.pid }) {
-			inject.At("fleet-saw-it-ready")
+			faultinjection.At("fleet-saw-it-ready")
 			s.send(ctx, func(now time.Duration) []lifecycle.Action { return s.plan.ProcessReady(now, i, p.id) })
 		}
 	}()
@@ -502,8 +502,8 @@
 	if p == nil {
 		return
 	}
-	inject.At("fleet-ends")
-	defer inject.At("fleet-ended")
+	faultinjection.At("fleet-ends")
+	defer faultinjection.At("fleet-ended")
 	if err := p.signal(sig); err != nil {
 		s.say("%s: %v to process %d: %v", s.specs[a.Instance].Name, sig, p.pid, err)
 	}
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"otterspring/internal/inject"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/faultinjection"
+	"otterspring/internal/strictconfig"
 )
 
 // Kind says what a fault's kind takes and does.
@@ -93,8 +93,8 @@
 type checker struct {
 	s     *Storm
 	name  string
-	lines strictfile.Lines
-	errs  []*strictfile.Error
+	lines strictconfig.Lines
+	errs  []*strictconfig.Error
 }
 
 func (c *checker) bad(key, found, wanted string) {
@@ -103,10 +103,10 @@
 		at = at[:strings.LastIndexByte(at, '.')]
 		line = c.lines[at]
 	}
-	c.errs = append(c.errs, &strictfile.Error{File: c.name, Line: line, Key: key, Found: found, Wanted: wanted})
+	c.errs = append(c.errs, &strictconfig.Error{File: c.name, Line: line, Key: key, Found: found, Wanted: wanted})
 }
 
-func (s *Storm) check(name string, lines strictfile.Lines) []*strictfile.Error {
+func (s *Storm) check(name string, lines strictconfig.Lines) []*strictconfig.Error {
 	c := &checker{s: s, name: name, lines: lines}
 	c.load()
 	for i := range s.Faults {
@@ -277,8 +277,8 @@
 	if k.Hosts && s.World.Hosts == 0 {
 		c.bad(key+".kind", strconv.Quote(f.Kind)+" in a world without hosts", "world.hosts of 1 or more")
 	}
-	if f.Point != "" && inject.Points[f.Point] == "" {
-		c.bad(key+".point", strconv.Quote(f.Point), "one of "+strings.Join(slices.Sorted(maps.Keys(inject.Points)), ", "))
+	if f.Point != "" && faultinjection.Points[f.Point] == "" {
+		c.bad(key+".point", strconv.Quote(f.Point), "one of "+strings.Join(slices.Sorted(maps.Keys(faultinjection.Points)), ", "))
 	}
 	if strings.HasPrefix(f.Point, "list-") && !s.World.Council.List {
 		c.bad(key+".point", strconv.Quote(f.Point)+" in a world whose council has no list", "world.council.list")
@@ -489,7 +489,7 @@
 	c := s.clone()
 	for _, kv := range set {
 		if err := c.Set(kv); err != nil {
-			return nil, &strictfile.Error{File: s.File, Key: kv, Found: "no such setting or value", Wanted: err.Error()}
+			return nil, &strictconfig.Error{File: s.File, Key: kv, Found: "no such setting or value", Wanted: err.Error()}
 		}
 	}
 	if bad := c.check(s.File, nil); len(bad) > 0 {
--- a/internal/lab/experiment/draw.go
+++ b/internal/lab/experiment/draw.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // HostOf is the host that an instance runs on, from 1; 0 without hosts.
@@ -161,7 +161,7 @@
 // atPoint draws a point, and a process that comes there.
 func (s *Storm) atPoint(f *Fault, rng *rand.Rand) {
 	var points []string
-	for name := range inject.Points {
+	for name := range faultinjection.Points {
 		if strings.HasPrefix(name, "list-") && !s.World.Council.List {
 			continue
 		}
--- a/internal/lab/experiment/storm.go
+++ b/internal/lab/experiment/storm.go
@@ -16,7 +16,7 @@
 
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/standin/clients"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // Storm is what a file says.
@@ -227,7 +227,7 @@
 	Move      bool          `toml:"move"` // comes back at another address
 	Way       string        `toml:"way" oneof:"to|from|both"`
 	Processes Procs         `toml:"processes"`
-	Point     string        `toml:"point"` // of the code, of package inject
+	Point     string        `toml:"point"` // of the code, of package faultinjection
 	Shift     time.Duration `toml:"shift" min:"-48h" max:"48h"`
 	Drift     float64       `toml:"drift" min:"-0.5" max:"0.5"`
 	Disk      string        `toml:"disk" oneof:"enospc|eio-write|eio-sync|eio-rename|torn|gone|read-only"`
@@ -457,7 +457,7 @@
 // first where short is set, then set, each key=value. What is wrong is one
 // error a fault.
 func LoadFile(path string, short bool, set []string) (*Storm, []error) {
-	text, err := strictfile.Read(path)
+	text, err := strictconfig.Read(path)
 	if err != nil {
 		return nil, []error{err}
 	}
@@ -467,7 +467,7 @@
 // Parse reads a storm's text; name stands for the file in errors.
 func Parse(name string, text []byte, short bool, set []string) (*Storm, []error) {
 	s := Defaults()
-	lines, bad := strictfile.DecodePartial(name, text, &s)
+	lines, bad := strictconfig.DecodePartial(name, text, &s)
 	if len(bad) > 0 {
 		return nil, plain(s.checkRest(name, lines, bad))
 	}
@@ -479,7 +479,7 @@
 	try := s.clone()
 	for _, kv := range s.Short {
 		if err := try.Set(kv); err != nil {
-			return nil, []error{&strictfile.Error{File: name, Line: lines["short"], Key: "short", Found: strconv.Quote(kv), Wanted: err.Error()}}
+			return nil, []error{&strictconfig.Error{File: name, Line: lines["short"], Key: "short", Found: strconv.Quote(kv), Wanted: err.Error()}}
 		}
 	}
 	if short {
@@ -487,7 +487,7 @@
 	}
 	for _, kv := range set {
 		if err := s.Set(kv); err != nil {
-			return nil, []error{&strictfile.Error{File: "-set", Key: kv, Found: "no such setting or value", Wanted: err.Error()}}
+			return nil, []error{&strictconfig.Error{File: "-set", Key: kv, Found: "no such setting or value", Wanted: err.Error()}}
 		}
 	}
 	if bad := s.check(name, lines); len(bad) > 0 {
@@ -498,7 +498,7 @@
 
 // checkRest adds to the faults of single values those that only the whole shows,
 // but for what follows from the former.
-func (s *Storm) checkRest(name string, lines strictfile.Lines, bad []*strictfile.Error) []*strictfile.Error {
+func (s *Storm) checkRest(name string, lines strictconfig.Lines, bad []*strictconfig.Error) []*strictconfig.Error {
 	if len(lines) == 0 {
 		return bad // not even TOML
 	}
@@ -507,7 +507,7 @@
 	}
 	said := slices.Clone(bad)
 	for _, e := range s.check(name, lines) {
-		follows := slices.ContainsFunc(said, func(b *strictfile.Error) bool {
+		follows := slices.ContainsFunc(said, func(b *strictconfig.Error) bool {
 			return b.Key == e.Key || strings.HasPrefix(b.Key, e.Key+".") || strings.HasPrefix(e.Key, b.Key+".")
 		})
 		if !follows {
@@ -521,7 +521,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-func plain(bad []*strictfile.Error) (errs []error) {
+func plain(bad []*strictconfig.Error) (errs []error) {
 	for _, e := range bad {
 		errs = append(errs, e)
 	}
@@ -575,8 +575,8 @@
 // setOne reads one line of TOML over what is there; needs of tables that it
 // does not touch are not asked for.
 func setOne(key, value string, into any) error {
-	err := strictfile.Overlay("-set", []byte(key+" = "+value+"\n"), into)
-	var e *strictfile.Error
+	err := strictconfig.Overlay("-set", []byte(key+" = "+value+"\n"), into)
+	var e *strictconfig.Error
 	if errors.As(err, &e) {
 		return errors.New(e.Wanted)
 	}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"otterspring/internal/lab/audit"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // Version is the file's; another one is not read.
@@ -163,7 +163,7 @@
 func Load(path string) (*History, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &strictfile.Error{File: path, Found: err.Error(), Wanted: "a history"}
+		return nil, &strictconfig.Error{File: path, Found: err.Error(), Wanted: "a history"}
 	}
 	defer f.Close()
 	return Read(path, f)
@@ -172,7 +172,7 @@
 // Read reads a history; name stands for the file in errors.
 func Read(name string, r io.Reader) (*History, error) {
 	bad := func(line int, key, found, wanted string) error {
-		return &strictfile.Error{File: name, Line: line, Key: key, Found: found, Wanted: wanted}
+		return &strictconfig.Error{File: name, Line: line, Key: key, Found: found, Wanted: wanted}
 	}
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 64<<10), 1<<20)
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -210,10 +210,10 @@
 		Old: "n := len(s.idle); b.linked(s, now) &&", New: "n := len(s.idle); n > 0 &&"},
 	{Name: "subscribe-at-once", File: "balance/settings.go", Breaks: "first subscriptions are not spread, nor calls again after a failure",
 		Old: "subscribeSpread = 2 * time.Second", New: "subscribeSpread = 2 * time.Millisecond"},
-	{Name: "move-in-step", File: "internal/pace/pace.go", Breaks: "after a move of discovery calls that fail come again in step",
+	{Name: "move-in-step", File: "internal/sidecar/backoff/backoff.go", Breaks: "after a move of discovery calls that fail come again in step",
 		Old: "return mean/2 + time.Duration(rng.Int64N(int64(mean)))", New: "return mean/2 + 0*time.Duration(rng.Int64N(int64(mean)))"},
-	{Name: "move-in-a-hurry", File: "internal/pace/pace.go", Breaks: "after a move of discovery calls that fail come again at once",
-		Old: "First = 300 * time.Millisecond", New: "First = 3 * time.Millisecond"},
+	{Name: "move-in-a-hurry", File: "internal/sidecar/backoff/backoff.go", Breaks: "after a move of discovery calls that fail come again at once",
+		Old: "InitialDelay = 300 * time.Millisecond", New: "InitialDelay = 3 * time.Millisecond"},
 	{Name: "ration-undivided", File: "balance/pick.go", Breaks: "a cold server's ration is not divided by how many balancers there are",
 		Old: "perWarm = b.success * min(coldSpread, n/warm)", New: "perWarm = b.success * coldSpread * warm"},
 	{Name: "all-cold-unmeasured", File: "balance/pick.go", Breaks: "with no warm server what cold ones get is not held to a server's share",
@@ -299,7 +299,7 @@
 	{Name: "half-a-list", File: "internal/sidecar/discovery/wire.go", Breaks: "an entry that can't be read is skipped, and its server dropped",
 		Old: "\t\t\treturn dispatch.EndpointList{}, fmt.Errorf(\"endpoint %d: %w\", i, err)\n", New: "\t\t\t_ = i\n\t\t\tcontinue\n"},
 	{Name: "move-unnoticed", File: "internal/sidecar/discovery/watcher.go", Breaks: "after a move the old address's version goes on counting",
-		Old: "w.watchedGeneration, attempts, w.version = generation, pace.Tries, noVersion", New: "w.watchedGeneration, attempts = generation, pace.Tries"},
+		Old: "w.watchedGeneration, attempts, w.version = generation, backoff.MaxAttempts, noVersion", New: "w.watchedGeneration, attempts = generation, backoff.MaxAttempts"},
 
 	// Membership.
 	{Name: "earlier-life", File: "internal/sidecar/discovery/drain/tracker.go", Breaks: "an earlier life of a server that drains comes back",
@@ -337,9 +337,9 @@
 		Old: "state = balance.Draining\n", New: "state = balance.Ready\n"},
 
 	// What the programs share.
-	{Name: "log-unbounded", File: "internal/logs/logs.go", Breaks: "a fault without end fills the log",
+	{Name: "log-unbounded", File: "internal/logging/logging.go", Breaks: "a fault without end fills the log",
 		Old: "if c.written >= l.options.Burst {", New: "if c.written < 0 {"},
-	{Name: "causes-unbounded", File: "internal/logs/logs.go", Breaks: "the table of causes grows without end",
+	{Name: "causes-unbounded", File: "internal/logging/logging.go", Breaks: "the table of causes grows without end",
 		Old: "\tif len(l.causes) >= maxCauses {\n\t\tname = otherCauses\n\t}\n", New: ""},
 	{Name: "open-socket", File: "internal/unixsocket/unixsocket.go", Breaks: "every user may speak to a control socket",
 		Old: "0o600) })", New: "0o666) })"},
--- a/internal/lab/rig/between_test.go
+++ b/internal/lab/rig/between_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
 )
@@ -335,7 +335,7 @@
 			continue
 		}
 		env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
-		if err == nil && bytes.Contains(env, []byte(inject.Env+"="+dir)) {
+		if err == nil && bytes.Contains(env, []byte(faultinjection.DirectoryEnv+"="+dir)) {
 			pids = append(pids, pid)
 		}
 	}
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -320,7 +320,7 @@
 	return h.startSupervisor(one)
 }
 
-// disks are the lines of package inject for each state of a disk.
+// disks are the lines of package faultinjection for each state of a disk.
 var disks = map[string]string{
 	"enospc": "disk write enospc\ndisk open enospc\n", "eio-write": "disk write eio\n", "eio-sync": "disk sync eio\n", "eio-rename": "disk rename eio\n",
 	"torn": "disk write torn\n", "gone": "disk all enoent\n", "read-only": "disk all erofs\n",
--- a/internal/lab/rig/hosts.go
+++ b/internal/lab/rig/hosts.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
@@ -242,7 +242,7 @@
 	h.mu.Unlock()
 	cmd := exec.Command(argv[0], argv[1:]...)
 	p := &Process{cmd: cmd, tail: &tail{}, done: make(chan struct{})}
-	cmd.Env = append(os.Environ(), inject.Env+"="+h.dir, inject.Role+"="+one.role, "GORACE=halt_on_error=1")
+	cmd.Env = append(os.Environ(), faultinjection.DirectoryEnv+"="+h.dir, faultinjection.RoleEnv+"="+one.role, "GORACE=halt_on_error=1")
 	cmd.Stdout, cmd.Stderr = &ears{tail: p.tail, h: h, role: one.role}, &ears{tail: p.tail, h: h, role: one.role}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true, Pdeathsig: syscall.SIGKILL}
 	h.mu.Lock()
--- a/internal/lab/rig/storm.go
+++ b/internal/lab/rig/storm.go
@@ -24,7 +24,7 @@
 	"otterspring/internal/lab/standin/lossylink"
 	"otterspring/internal/lab/standin/registry"
 	"otterspring/internal/lab/standin/relay"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // StormOptions are the options of a world for a storm on sockets.
@@ -252,7 +252,7 @@
 	for uint64(need(most+1)) <= limit.Cur {
 		most++
 	}
-	return &strictfile.Error{File: s.File, Line: s.Line["world.instances"], Key: "world.instances", Found: strconv.Itoa(s.World.Instances),
+	return &strictconfig.Error{File: s.File, Line: s.Line["world.instances"], Key: "world.instances", Found: strconv.Itoa(s.World.Instances),
 		Wanted: fmt.Sprintf("%d at most on sockets, for this machine gives a process %d descriptors", most, limit.Cur)}
 }
 
@@ -322,7 +322,7 @@
 	o.Supervisor, o.Self, o.Old, o.OldSupervisor = h.Supervisor, h.Self, h.Old, h.OldSelf
 	for i := range p.Storm.Faults {
 		if p.Storm.Faults[i].Program == "old" && h.Old == "" {
-			return nil, &strictfile.Error{File: p.Storm.File, Line: p.Storm.Line[fmt.Sprintf("fault[%d].program", i+1)], Key: fmt.Sprintf("fault[%d].program", i+1), Found: "old, and no earlier version", Wanted: "one, by -old"}
+			return nil, &strictconfig.Error{File: p.Storm.File, Line: p.Storm.Line[fmt.Sprintf("fault[%d].program", i+1)], Key: fmt.Sprintf("fault[%d].program", i+1), Found: "old, and no earlier version", Wanted: "one, by -old"}
 		}
 	}
 	w, err := New(o)
--- a/internal/lab/virtual/registry.go
+++ b/internal/lab/virtual/registry.go
@@ -5,7 +5,7 @@
 
 	"otterspring/balance"
 	"otterspring/internal/lab/experiment"
-	"otterspring/internal/pace"
+	"otterspring/internal/sidecar/backoff"
 )
 
 const (
@@ -232,7 +232,7 @@
 func (p *process) move(down time.Duration) {
 	w := p.inst.w
 	p.moves++
-	p.index, p.tries, p.downUntil = 0, pace.Tries, w.loop.now+down
+	p.index, p.tries, p.downUntil = 0, backoff.MaxAttempts, w.loop.now+down
 	w.reg.call(p, 0)
 }
 
@@ -245,7 +245,7 @@
 	if p.tries > 1 {
 		p.tries--
 		moves := p.moves
-		p.inst.w.loop.in(pace.Again(p.inst.rng, pace.Tries-p.tries), func() {
+		p.inst.w.loop.in(backoff.Delay(p.inst.rng, backoff.MaxAttempts-p.tries), func() {
 			if !p.ended && p.moves == moves {
 				p.inst.w.reg.call(p, p.index)
 			}
--- a/internal/logs/logs.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logs makes the programs' loggers: lines of key=value or JSON by log/slog, with
 // a bound on the lines of one cause. It links nothing but the standard library, since
 // the sidecar has it, too.
-package logs
+package logging
 
 import (
 	"context"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logging_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/pace/pace.go
+++ b/internal/sidecar/backoff/backoff.go
@@ -7,7 +7,7 @@
 // lets none wait for long, must neither come again in step nor at a pace that
 // the fleet's size multiplies: at 300 sidecars a fixed 200 ms was 1,830 calls in
 // a second.
-package pace
+package backoff
 
 import (
 	"math/rand/v2"
@@ -18,14 +18,14 @@
 // after the signal, so that the pauses grow to a part of that only, and all
 // tries together take about as long.
 const (
-	First = 300 * time.Millisecond // mean of the first pause
-	Grow  = 2                      // how often it doubles
-	Tries = 5                      // calls, the first among them, until the usual way of asking takes over
+	InitialDelay = 300 * time.Millisecond // mean of the first pause
+	MaxDoublings = 2                      // how often it doubles
+	MaxAttempts  = 5                      // calls, the first among them, until the usual way of asking takes over
 )
 
-// Again draws the pause before try n, which is 1 for the first call that is made
+// Delay draws the pause before try n, which is 1 for the first call that is made
 // again: from half to one and a half of a mean that doubles.
-func Again(rng *rand.Rand, n int) time.Duration {
-	mean := First << min(max(n-1, 0), Grow)
+func Delay(rng *rand.Rand, n int) time.Duration {
+	mean := InitialDelay << min(max(n-1, 0), MaxDoublings)
 	return mean/2 + time.Duration(rng.Int64N(int64(mean)))
 }
--- a/internal/pace/pace_test.go
+++ b/internal/sidecar/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package pace
+package backoff
 
 import (
 	"math/rand/v2"
@@ -15,8 +15,8 @@
 	for i := range callers {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
 		at := time.Duration(0)
-		for n := 1; n < Tries; n++ {
-			at += Again(rng, n)
+		for n := 1; n < MaxAttempts; n++ {
+			at += Delay(rng, n)
 			by[at/(100*time.Millisecond)]++
 		}
 		last = max(last, at)
@@ -48,7 +48,7 @@
 func TestPausesAreBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := -3; n < 100; n++ {
-		if d := Again(rng, n); d < First/2 || d > First<<Grow*3/2 {
+		if d := Delay(rng, n); d < InitialDelay/2 || d > InitialDelay<<MaxDoublings*3/2 {
 			t.Errorf("try %d: %v", n, d)
 		}
 	}
--- a/internal/sidecar/discovery/proxy.go
+++ b/internal/sidecar/discovery/proxy.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/pace"
+	"otterspring/internal/sidecar/backoff"
 )
 
 // A host's supervisor may relay discovery's list to its sidecars, at a local proxy that
@@ -52,7 +52,7 @@
 			return
 		case moved:
 			slog.Warn("discovery has moved; local proxy is not used any more", "proxy", w.proxyAddress)
-			w.watchDiscovery(ctx, pace.Tries)
+			w.watchDiscovery(ctx, backoff.MaxAttempts)
 			return
 		case answered || failingSince.IsZero():
 			failingSince = time.Now()
--- a/internal/sidecar/discovery/watcher.go
+++ b/internal/sidecar/discovery/watcher.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fastjson"
 
 	"otterspring/balance"
-	"otterspring/internal/pace"
+	"otterspring/internal/sidecar/backoff"
 	"otterspring/internal/sidecar/dispatch"
 )
 
@@ -177,7 +177,7 @@
 		callContext, cancel := context.WithCancel(ctx)
 		address, generation := w.beginCalls(cancel)
 		if generation != w.watchedGeneration {
-			w.watchedGeneration, attempts, w.version = generation, pace.Tries, noVersion
+			w.watchedGeneration, attempts, w.version = generation, backoff.MaxAttempts, noVersion
 			w.hangUp()
 		}
 		answered, err := w.watchUntilError(callContext, address, generation)
@@ -192,7 +192,7 @@
 			return
 		case moved:
 			// The call was cancelled for the new address: discovery has not failed.
-			attempts = pace.Tries
+			attempts = backoff.MaxAttempts
 		default:
 			attempts = w.waitAfterFailure(ctx, rng, attempts, generation, err)
 		}
@@ -207,13 +207,13 @@
 	case unresponsive:
 		// The balancer's next request would come too late: what the watch has missed
 		// soon counts as reported.
-		sleep(ctx, pace.Again(rng, 1))
+		sleep(ctx, backoff.Delay(rng, 1))
 		return 1
 	case attempts > 1:
 		// After a move the first calls are repeated soon, since what the new address
 		// has to report soon counts as reported.
 		attempts--
-		sleep(ctx, pace.Again(rng, pace.Tries-attempts))
+		sleep(ctx, backoff.Delay(rng, backoff.MaxAttempts-attempts))
 		return attempts
 	}
 	slog.Warn("discovery call failed", "error", err)
--- a/internal/sidecar/entrypoint/main.go
+++ b/internal/sidecar/entrypoint/main.go
@@ -17,7 +17,7 @@
 	"os/signal"
 	"syscall"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 const usage = `usage: sandhinge [-operator FILE] [-log-format text|json] [-log-level LEVEL]
@@ -41,7 +41,7 @@
 	flags := flag.NewFlagSet("sandhinge", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	operatorPath := flags.String("operator", "", "")
-	var logOptions logs.Options
+	var logOptions logging.Options
 	logOptions.Flags(flags)
 	if err := flags.Parse(args); err != nil || flags.NArg() > 0 {
 		if errors.Is(err, flag.ErrHelp) {
@@ -58,7 +58,7 @@
 	p := &process{operatorPath: *operatorPath, reload: make(chan os.Signal, 1), stop: make(chan os.Signal, 1)}
 	signal.Notify(p.reload, syscall.SIGHUP)
 	signal.Notify(p.stop, syscall.SIGTERM, syscall.SIGINT)
-	slog.SetDefault(logs.New(stderr, logOptions))
+	slog.SetDefault(logging.New(stderr, logOptions))
 	if err := p.run(); err != nil {
 		slog.Error("sidecar failed", "error", err)
 		return exitFailed
--- a/internal/sidecar/entrypoint/process.go
+++ b/internal/sidecar/entrypoint/process.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"otterspring/internal/inject"
-	"otterspring/internal/notify"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/sidecar"
 	"otterspring/internal/sidecar/handover"
 	"otterspring/internal/sidecar/operatorconfig"
+	"otterspring/internal/sidecar/sdnotify"
 )
 
 // configVariable is the environment variable with the path of the configuration file.
@@ -24,7 +24,7 @@
 	stop         chan os.Signal
 	operatorFile operatorconfig.File // as last loaded
 	sidecar      *sidecar.Sidecar
-	notifier     *notify.Notifier      // nil where it is off
+	notifier     *sdnotify.Notifier    // nil where it is off
 	offer        *handover.Offer       // nil where it is off
 	predecessor  *handover.Predecessor // the process that this one took over from; nil for none, and after its end
 }
@@ -40,11 +40,11 @@
 		return err
 	}
 	if p.operatorFile.Notify.Systemd {
-		if p.notifier, err = notify.FromEnvironment(); err != nil {
+		if p.notifier, err = sdnotify.FromEnvironment(); err != nil {
 			return err
 		}
 	}
-	inject.At("start")
+	faultinjection.At("start")
 	slog.SetDefault(slog.Default().With("instance", config.Name))
 	if err := p.start(config); err != nil {
 		return err
@@ -148,7 +148,7 @@
 // startWatchdog notifies the service manager's watchdog as long as decisions are being
 // made. Its goroutine ends with stop.
 func (p *process) startWatchdog() (stop func()) {
-	interval := p.notifier.Watchdog()
+	interval := p.notifier.WatchdogInterval()
 	if interval <= 0 {
 		return func() {}
 	}
@@ -162,7 +162,7 @@
 				return
 			case <-ticker.C:
 				if p.sidecar.Responsive(interval) {
-					logNotifyError(p.notifier.Alive())
+					logNotifyError(p.notifier.PingWatchdog())
 				}
 			}
 		}
--- a/internal/sidecar/handover/offer.go
+++ b/internal/sidecar/handover/offer.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/unixsocket"
 )
 
@@ -166,11 +166,11 @@
 	if err := setTimeout(conn, o.stepTimeout); err != nil {
 		return err
 	}
-	inject.At("handover-gives")
+	faultinjection.At("handover-gives")
 	if err := o.sendState(conn); err != nil {
 		return err
 	}
-	inject.At("handover-gave")
+	faultinjection.At("handover-gave")
 	for _, step := range []struct{ receive, reply, point string }{{lineReady, lineYours, "handover-let"}, {lineTaken, lineAgreed, "handover-agreed"}} {
 		line, err := readLine(reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -185,7 +185,7 @@
 		if _, err := io.WriteString(conn, step.reply+"\n"); err != nil {
 			return fmt.Errorf("the new process exited: %w", err)
 		}
-		inject.At(step.point)
+		faultinjection.At(step.point)
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		slog.Debug("handover connection has ended", "error", err)
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // Errors of the new process.
@@ -75,7 +75,7 @@
 		// be read all the same.
 		slog.Debug("handover request was not sent; reading the reply", "error", err)
 	}
-	inject.At("handover-asked")
+	faultinjection.At("handover-asked")
 	line, descriptors, err := p.receiveReply()
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 // accept connections. After an error it must exit without having accepted any: the old
 // process continues.
 func (p *Predecessor) AnnounceReady() error {
-	inject.At("handover-given")
+	faultinjection.At("handover-given")
 	line, err := p.exchange(lineReady)
 	if err != nil {
 		return fmt.Errorf("handover: %s: the old process has exited or its timeout has passed: %w", p.path, err)
@@ -163,7 +163,7 @@
 	if line != lineYours {
 		return fmt.Errorf("handover: %s: found %s, wanted %q", p.path, shown(line), lineYours)
 	}
-	inject.At("handover-yours")
+	faultinjection.At("handover-yours")
 	return nil
 }
 
@@ -171,10 +171,10 @@
 // for its agreement. From then on this process serves alone, whatever becomes of the
 // old one. After an error, which is ErrPredecessorContinues, it must drain and exit.
 func (p *Predecessor) AnnounceAccepting() error {
-	inject.At("handover-accepts")
+	faultinjection.At("handover-accepts")
 	line, err := p.exchange(lineTaken)
 	if err == nil && line == lineAgreed {
-		inject.At("handover-taken")
+		faultinjection.At("handover-taken")
 		if err := p.conn.SetDeadline(time.Time{}); err != nil {
 			slog.Debug("handover connection has ended", "error", err)
 		}
--- a/internal/sidecar/handover/successor.go
+++ b/internal/sidecar/handover/successor.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"net"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 )
 
 // Successor is the new process as the old one sees it, from the agreement on. Its
@@ -50,7 +50,7 @@
 // AnnounceDrained tells the new process that this one has answered all of its
 // requests, and ends the handover.
 func (s *Successor) AnnounceDrained() {
-	inject.At("handover-drained")
+	faultinjection.At("handover-drained")
 	sendLine(s.conn, lineDone)
 	s.conn.Close()
 }
--- a/internal/sidecar/operatorconfig/file.go
+++ b/internal/sidecar/operatorconfig/file.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // File is an operator's file. A section that the file does not have is off.
@@ -64,16 +64,16 @@
 	// MaxPendingRequests bounds the requests without an answer, MaxDedupEntries those
 	// that are remembered with their answers to detect repeats (for at most 247 s, some
 	// 360 bytes beside the answer), MaxDedupBytes these answers.
-	MaxPendingRequests int             `toml:"open" min:"8" max:"4096"`
-	MaxDedupEntries    int             `toml:"kept" min:"64" max:"262144"`
-	MaxDedupBytes      strictfile.Size `toml:"kept_bytes" min:"0B" max:"64MiB"`
+	MaxPendingRequests int               `toml:"open" min:"8" max:"4096"`
+	MaxDedupEntries    int               `toml:"kept" min:"64" max:"262144"`
+	MaxDedupBytes      strictconfig.Size `toml:"kept_bytes" min:"0B" max:"64MiB"`
 	// MaxCompletedUnsafe bounds the unsafe requests that are remembered without their
 	// answers, some 40 bytes each: the most that may arrive in 247 s.
 	MaxCompletedUnsafe int `toml:"settled" min:"0" max:"4194304"`
 	// MaxTransfers bounds the bodies that are transferred in blocks, MaxTransferBytes
 	// all of them together, in each direction.
-	MaxTransfers     int             `toml:"transfers" min:"1" max:"1024"`
-	MaxTransferBytes strictfile.Size `toml:"transfer_bytes" min:"64KiB" max:"64MiB"`
+	MaxTransfers     int               `toml:"transfers" min:"1" max:"1024"`
+	MaxTransferBytes strictconfig.Size `toml:"transfer_bytes" min:"64KiB" max:"64MiB"`
 	// MaxObservers bounds the observations, 0 for none; what is observed is requested
 	// again every ObserveInterval.
 	MaxObservers    int           `toml:"observers" min:"0" max:"4096"`
--- a/internal/sidecar/operatorconfig/load.go
+++ b/internal/sidecar/operatorconfig/load.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // Defaults returns what applies without a file: every section is off.
@@ -38,11 +38,11 @@
 	if path == "" {
 		return file, nil
 	}
-	text, err := strictfile.Read(path)
+	text, err := strictconfig.Read(path)
 	if err != nil {
 		return file, []error{err}
 	}
-	lines, faults := strictfile.DecodeAll(path, text, &file)
+	lines, faults := strictconfig.DecodeAll(path, text, &file)
 	if len(faults) == 0 {
 		faults = file.validate(path, lines)
 	}
--- a/internal/sidecar/operatorconfig/validate.go
+++ b/internal/sidecar/operatorconfig/validate.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 // maxSocketPathBytes leaves room in a Unix socket's address, of 108 bytes with the zero
@@ -17,9 +17,9 @@
 type reportFunc func(key, found, wanted string)
 
 // validate checks what the bounds of single values don't show.
-func (f *File) validate(path string, lines strictfile.Lines) (faults []*strictfile.Error) {
+func (f *File) validate(path string, lines strictconfig.Lines) (faults []*strictconfig.Error) {
 	report := func(key, found, wanted string) {
-		faults = append(faults, &strictfile.Error{File: path, Line: lines[key], Key: key, Found: found, Wanted: wanted})
+		faults = append(faults, &strictconfig.Error{File: path, Line: lines[key], Key: key, Found: found, Wanted: wanted})
 	}
 	f.Handover.validate(report)
 	f.List.validate(report)
--- a/internal/notify/notify.go
+++ b/internal/sidecar/sdnotify/sdnotify.go
@@ -1,7 +1,7 @@
 // Package notify tells a supervisor of a program's states by datagrams to a
 // Unix socket, as sd_notify(3) describes them: READY=1, RELOADING=1 with
 // MONOTONIC_USEC, STOPPING=1, STATUS, MAINPID, WATCHDOG=1.
-package notify
+package sdnotify
 
 import (
 	"fmt"
@@ -51,9 +51,9 @@
 	return n, nil
 }
 
-// Watchdog is how often WATCHDOG=1 is to be sent: half the time after which the
+// WatchdogInterval is how often WATCHDOG=1 is to be sent: half the time after which the
 // supervisor takes the program for hung. 0 means that it does not watch.
-func (n *Notifier) Watchdog() time.Duration {
+func (n *Notifier) WatchdogInterval() time.Duration {
 	if n == nil {
 		return 0
 	}
@@ -78,8 +78,8 @@
 // Stopping tells that the program is ending.
 func (n *Notifier) Stopping() error { return n.send("STOPPING=1") }
 
-// Alive feeds the watchdog.
-func (n *Notifier) Alive() error { return n.send("WATCHDOG=1") }
+// PingWatchdog feeds the watchdog.
+func (n *Notifier) PingWatchdog() error { return n.send("WATCHDOG=1") }
 
 // Status tells in words what the program does.
 func (n *Notifier) Status(text string) error {
--- a/internal/notify/notify_test.go
+++ b/internal/sidecar/sdnotify/sdnotify_test.go
@@ -1,4 +1,4 @@
-package notify
+package sdnotify
 
 import (
 	"fmt"
@@ -48,7 +48,7 @@
 		{n.Ready, []string{"READY=1", fmt.Sprintf("MAINPID=%d", os.Getpid())}},
 		{n.Reloading, []string{"RELOADING=1", "MONOTONIC_USEC="}},
 		{n.Stopping, []string{"STOPPING=1"}},
-		{n.Alive, []string{"WATCHDOG=1"}},
+		{n.PingWatchdog, []string{"WATCHDOG=1"}},
 		{func() error { return n.Status("two\nlines") }, []string{"STATUS=two lines"}},
 	} {
 		if err := s.send(); err != nil {
@@ -83,8 +83,8 @@
 		t.Setenv("WATCHDOG_USEC", c.usec)
 		t.Setenv("WATCHDOG_PID", c.pid)
 		n, err := FromEnvironment()
-		if (err != nil) != c.bad || n.Watchdog() != c.want {
-			t.Errorf("%+v: %v, %v", c, n.Watchdog(), err)
+		if (err != nil) != c.bad || n.WatchdogInterval() != c.want {
+			t.Errorf("%+v: %v, %v", c, n.WatchdogInterval(), err)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 func TestNobodyListens(t *testing.T) {
 	t.Setenv("NOTIFY_SOCKET", "")
 	n, err := FromEnvironment()
-	if err != nil || n.Ready() != nil || (*Notifier)(nil).Ready() != nil || (*Notifier)(nil).Watchdog() != 0 {
+	if err != nil || n.Ready() != nil || (*Notifier)(nil).Ready() != nil || (*Notifier)(nil).WatchdogInterval() != 0 {
 		t.Error("without a socket something is sent")
 	}
 	t.Setenv("NOTIFY_SOCKET", "relative")
@@ -112,7 +112,7 @@
 	listen(t)
 	n, _ = FromEnvironment()
 	for range 10000 { // nobody reads: it must fail at last, and not hang
-		if err := n.Alive(); err != nil {
+		if err := n.PingWatchdog(); err != nil {
 			return
 		}
 	}
--- a/internal/strictfile/decoder.go
+++ b/internal/strictconfig/decoder.go
@@ -1,4 +1,4 @@
-package strictfile
+package strictconfig
 
 import (
 	"cmp"
@@ -139,7 +139,7 @@
 	case reflect.Slice:
 		d.decodeArray(value, into, tag, key)
 	default:
-		panic("strictfile: unsupported field type " + into.Type().String())
+		panic("strictconfig: unsupported field type " + into.Type().String())
 	}
 }
 
--- a/internal/strictfile/doc.go
+++ b/internal/strictconfig/doc.go
@@ -16,4 +16,4 @@
 // types that read their own text (encoding.TextUnmarshaler, whose error says what is
 // wanted), slices of these, structs (tables) and slices of structs (arrays of tables).
 // What the struct contains before is the default.
-package strictfile
+package strictconfig
--- a/internal/strictfile/error.go
+++ b/internal/strictconfig/error.go
@@ -1,4 +1,4 @@
-package strictfile
+package strictconfig
 
 import (
 	"errors"
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -186,7 +186,7 @@
 }
 
 // noteFailure logs that a relay has begun to fail, one line until it answers again.
-// The log bounds how often one message is written (package logs).
+// The log bounds how often one message is written (package logging).
 func (c *Client) noteFailure(relay int, why string) {
 	if c.failing[relay] {
 		return
--- a/test.sh
+++ b/test.sh
@@ -61,7 +61,7 @@
 others=0
 longest="./balance ./internal/lab/virtual ./internal/fleet/coordination ./internal/sidecar"
 go test -race -count=1 -p "$((cores > 2 ? cores * 3 / 4 : 1))" $longest $(go list ./... | grep -v '/internal/lab/rig$') || others=$?
-go test -race -count=1 -tags faults ./internal/inject ./internal/disk
+go test -race -count=1 -tags faults ./internal/faultinjection ./internal/disk
 finish fleet
 finish rig
 [ "$others" = 0 ] || exit "$others"
