--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logs makes the programs' loggers: lines of key=value or JSON by log/slog, with
+// Package logging makes the programs' loggers: lines of key=value or JSON by log/slog, with
 // a bound on the lines of one cause. It links nothing but the standard library, since
 // the sidecar has it, too.
 package logging
--- a/internal/sidecar/sdnotify/sdnotify.go
+++ b/internal/sidecar/sdnotify/sdnotify.go
@@ -1,9 +1,10 @@
-// Package notify tells a supervisor of a program's states by datagrams to a
+// Package sdnotify reports the states of a process to its supervisor by datagrams to a
 // Unix socket, as sd_notify(3) describes them: READY=1, RELOADING=1 with
 // MONOTONIC_USEC, STOPPING=1, STATUS, MAINPID, WATCHDOG=1.
 package sdnotify
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -14,90 +15,110 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendWithin bounds a datagram to a supervisor that does not read: its state is
-// lost then, and the program goes on.
-const sendWithin = 200 * time.Millisecond
+// sendTimeout bounds a datagram to a supervisor that does not read: the state is dropped
+// then.
+const sendTimeout = 200 * time.Millisecond
 
-// Notifier sends states. The zero value, and nil, send none.
+// maxSocketPathBytes is the length of a Unix socket's address.
+const maxSocketPathBytes = 107
+
+// The environment that a supervisor sets.
+const (
+	socketVariable       = "NOTIFY_SOCKET"
+	watchdogVariable     = "WATCHDOG_USEC" // microseconds
+	watchdogProcessIDVar = "WATCHDOG_PID"
+)
+
+// Errors of FromEnvironment.
+var (
+	ErrMalformedSocket   = errors.New(socketVariable + " is malformed")
+	ErrMalformedWatchdog = errors.New(watchdogVariable + " is malformed")
+)
+
+// Notifier sends states. The zero value, and nil, send none. It is safe for concurrent
+// use.
 type Notifier struct {
-	addr     string
-	interval time.Duration // of the watchdog, 0 for none
+	address         string        // empty for none
+	watchdogTimeout time.Duration // 0 for no watchdog
 }
 
-// FromEnvironment reads NOTIFY_SOCKET, WATCHDOG_USEC and WATCHDOG_PID. Without
-// a socket the notifier sends nothing.
+// FromEnvironment reads NOTIFY_SOCKET, WATCHDOG_USEC and WATCHDOG_PID. Without a socket
+// the notifier sends nothing. Its errors are ErrMalformedSocket and
+// ErrMalformedWatchdog.
 func FromEnvironment() (*Notifier, error) {
-	n := &Notifier{addr: os.Getenv("NOTIFY_SOCKET")}
-	if n.addr == "" {
+	n := &Notifier{address: os.Getenv(socketVariable)}
+	if n.address == "" {
 		return n, nil
 	}
-	if n.addr[0] != '/' && n.addr[0] != '@' {
-		return nil, fmt.Errorf("NOTIFY_SOCKET: found %q, wanted an absolute path or @name", n.addr)
+	if n.address[0] != '/' && n.address[0] != '@' {
+		return nil, fmt.Errorf("%w: found %q, wanted an absolute path or @name", ErrMalformedSocket, n.address)
 	}
-	if len(n.addr) > 107 {
-		return nil, fmt.Errorf("NOTIFY_SOCKET: found a path of %d bytes, wanted 107 at most", len(n.addr))
+	if len(n.address) > maxSocketPathBytes {
+		return nil, fmt.Errorf("%w: found a path of %d bytes, wanted at most %d", ErrMalformedSocket, len(n.address), maxSocketPathBytes)
 	}
-	text := os.Getenv("WATCHDOG_USEC")
+	text := os.Getenv(watchdogVariable)
 	if text == "" {
 		return n, nil
 	}
-	us, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || us <= 0 {
-		return nil, fmt.Errorf("WATCHDOG_USEC: found %q, wanted a whole number of microseconds", text)
+	microseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || microseconds <= 0 {
+		return nil, fmt.Errorf("%w: found %q, wanted a whole number of microseconds", ErrMalformedWatchdog, text)
 	}
-	if pid := os.Getenv("WATCHDOG_PID"); pid == "" || pid == strconv.Itoa(os.Getpid()) {
-		n.interval = time.Duration(us) * time.Microsecond
+	if processID := os.Getenv(watchdogProcessIDVar); processID == "" || processID == strconv.Itoa(os.Getpid()) {
+		n.watchdogTimeout = time.Duration(microseconds) * time.Microsecond
 	}
 	return n, nil
 }
 
-// WatchdogInterval is how often WATCHDOG=1 is to be sent: half the time after which the
-// supervisor takes the program for hung. 0 means that it does not watch.
+// WatchdogInterval is how often PingWatchdog is to be called: half the time after which
+// the supervisor considers the process unresponsive. 0 means that it does not watch.
 func (n *Notifier) WatchdogInterval() time.Duration {
 	if n == nil {
 		return 0
 	}
-	return n.interval / 2
+	return n.watchdogTimeout / 2
 }
 
-// Ready tells that the program serves, and that it is the main process from now
-// on, which matters after a hand-over.
+// Ready reports that the process serves, and that it is the main process from now on,
+// which matters after a handover.
 func (n *Notifier) Ready() error {
 	return n.send("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
-// Reloading tells that a reload has begun; Ready ends it.
+// Reloading reports that a reload has begun; Ready ends it.
 func (n *Notifier) Reloading() error {
-	var ts unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
 		return err
 	}
-	return n.send("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(ts.Nano()/1000, 10))
+	return n.send("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(now.Nano()/1000, 10))
 }
 
-// Stopping tells that the program is ending.
+// Stopping reports that the process shuts down.
 func (n *Notifier) Stopping() error { return n.send("STOPPING=1") }
 
-// PingWatchdog feeds the watchdog.
+// PingWatchdog reports that the process is responsive.
 func (n *Notifier) PingWatchdog() error { return n.send("WATCHDOG=1") }
 
-// Status tells in words what the program does.
+// Status reports in words what the process does.
 func (n *Notifier) Status(text string) error {
 	return n.send("STATUS=" + strings.ReplaceAll(text, "\n", " "))
 }
 
 func (n *Notifier) send(lines ...string) error {
-	if n == nil || n.addr == "" {
+	if n == nil || n.address == "" {
 		return nil
 	}
-	c, err := net.DialTimeout("unixgram", n.addr, sendWithin)
+	conn, err := net.DialTimeout("unixgram", n.address, sendTimeout)
 	if err != nil {
-		return fmt.Errorf("NOTIFY_SOCKET: %w", err)
+		return fmt.Errorf("%s: %w", socketVariable, err)
+	}
+	defer conn.Close()
+	if err := conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
+		return fmt.Errorf("%s: %w", socketVariable, err)
 	}
-	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(sendWithin))
-	if _, err := c.Write([]byte(strings.Join(lines, "\n"))); err != nil {
-		return fmt.Errorf("NOTIFY_SOCKET: %w", err)
+	if _, err := conn.Write([]byte(strings.Join(lines, "\n"))); err != nil {
+		return fmt.Errorf("%s: %w", socketVariable, err)
 	}
 	return nil
 }
--- a/internal/sidecar/sdnotify/sdnotify_test.go
+++ b/internal/sidecar/sdnotify/sdnotify_test.go
@@ -1,6 +1,7 @@
 package sdnotify
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// listen holds a supervisor's socket and points the environment at it.
+// listen opens a supervisor's socket and names it in the environment.
 func listen(t *testing.T) *net.UnixConn {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "n")
@@ -18,14 +19,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	t.Setenv("NOTIFY_SOCKET", path)
 	t.Setenv("WATCHDOG_USEC", "")
 	return c
 }
 
-func heard(t *testing.T, c *net.UnixConn) string {
+func received(t *testing.T, c *net.UnixConn) string {
 	t.Helper()
 	buf := make([]byte, 4096)
 	n, err := c.Read(buf)
@@ -54,13 +61,13 @@
 		if err := s.send(); err != nil {
 			t.Fatal(err)
 		}
-		got := strings.Split(heard(t, c), "\n")
+		got := strings.Split(received(t, c), "\n")
 		if len(got) != len(s.want) {
-			t.Fatalf("heard %q, want %q", got, s.want)
+			t.Fatalf("received %q, want %q", got, s.want)
 		}
 		for i := range got {
 			if !strings.HasPrefix(got[i], s.want[i]) {
-				t.Errorf("heard %q, want %q", got[i], s.want[i])
+				t.Errorf("received %q, want %q", got[i], s.want[i])
 			}
 		}
 	}
@@ -71,50 +78,50 @@
 	for _, c := range []struct {
 		usec, pid string
 		want      time.Duration
-		bad       bool
+		err       error
 	}{
-		{"", "", 0, false},
-		{"2000000", "", time.Second, false},
-		{"2000000", fmt.Sprint(os.Getpid()), time.Second, false},
-		{"2000000", "1", 0, false}, // meant for another process
-		{"soon", "", 0, true},
-		{"-5", "", 0, true},
+		{"", "", 0, nil},
+		{"2000000", "", time.Second, nil},
+		{"2000000", fmt.Sprint(os.Getpid()), time.Second, nil},
+		{"2000000", "1", 0, nil}, // of another process
+		{"soon", "", 0, ErrMalformedWatchdog},
+		{"-5", "", 0, ErrMalformedWatchdog},
 	} {
 		t.Setenv("WATCHDOG_USEC", c.usec)
 		t.Setenv("WATCHDOG_PID", c.pid)
 		n, err := FromEnvironment()
-		if (err != nil) != c.bad || n.WatchdogInterval() != c.want {
+		if !errors.Is(err, c.err) || n.WatchdogInterval() != c.want {
 			t.Errorf("%+v: %v, %v", c, n.WatchdogInterval(), err)
 		}
 	}
 }
 
-// Nobody there, nobody who reads, and none wanted: the program goes on.
-func TestNobodyListens(t *testing.T) {
+// Without a socket, a listener or a reader nothing blocks.
+func TestNoSupervisor(t *testing.T) {
 	t.Setenv("NOTIFY_SOCKET", "")
 	n, err := FromEnvironment()
 	if err != nil || n.Ready() != nil || (*Notifier)(nil).Ready() != nil || (*Notifier)(nil).WatchdogInterval() != 0 {
 		t.Error("without a socket something is sent")
 	}
 	t.Setenv("NOTIFY_SOCKET", "relative")
-	if _, err := FromEnvironment(); err == nil {
-		t.Error("a relative path was taken")
+	if _, err := FromEnvironment(); !errors.Is(err, ErrMalformedSocket) {
+		t.Error("a relative path was accepted")
 	}
 	t.Setenv("NOTIFY_SOCKET", "/"+strings.Repeat("x", 120))
-	if _, err := FromEnvironment(); err == nil {
-		t.Error("a path too long was taken")
+	if _, err := FromEnvironment(); !errors.Is(err, ErrMalformedSocket) {
+		t.Error("a path that is too long was accepted")
 	}
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(t.TempDir(), "none"))
 	n, _ = FromEnvironment()
 	if err := n.Ready(); err == nil {
-		t.Error("a socket that is not there took a state")
+		t.Error("a state was sent to a socket that does not exist")
 	}
 	listen(t)
 	n, _ = FromEnvironment()
-	for range 10000 { // nobody reads: it must fail at last, and not hang
+	for range 10000 { // without a reader it must fail in the end, and not block
 		if err := n.PingWatchdog(); err != nil {
 			return
 		}
 	}
-	t.Error("ten thousand states were taken unread")
+	t.Error("ten thousand states were sent without a reader")
 }
--- a/internal/strictconfig/doc.go
+++ b/internal/strictconfig/doc.go
@@ -1,4 +1,4 @@
-// Package strictfile reads TOML files that operators write, strictly: an unknown key, a
+// Package strictconfig reads TOML files that operators write, strictly: an unknown key, a
 // value of another kind or without its unit, and one out of its bounds are each one
 // line with file, line, key, what was found and what is wanted. A file is applied
 // completely or not at all.
