--- a/internal/faultinjection/on_test.go
+++ b/internal/faultinjection/enabled_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The wall clock steps and drifts by the file; the monotonic clock stays true.
-func TestWallStepsAndTrueTimeDoesNot(t *testing.T) {
+// The wall clock steps and drifts by the file; the monotonic clock is not affected.
+func TestWallClockStepsAndMonotonicClockDoesNot(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv(DirectoryEnv, dir)
 	t.Setenv("RELAY_NAME", "n1")
@@ -31,7 +31,7 @@
 		before := time.Now()
 		off := WallClock().Sub(time.Now().Round(0))
 		if d := time.Since(before); d < 0 || d > time.Minute {
-			t.Errorf("%q: true time went by %v", text, d)
+			t.Errorf("%q: %v of monotonic time have passed", text, d)
 		}
 		if off < want-time.Minute || off > want+time.Minute {
 			t.Errorf("%q: the wall clock is %v off, wanted %v", text, off, want)
@@ -49,6 +49,6 @@
 	}
 	set("\n")
 	if err := DiskError("write", "/a/y"); err != nil {
-		t.Errorf("a fault that is over: %v", err)
+		t.Errorf("a fault that has ended: %v", err)
 	}
 }
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// sources are the texts of what runs in installations, by path from the root.
+// sources are the texts of the packages that are released, by path from the root.
 func sources(t *testing.T) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -19,7 +19,10 @@
 			if err != nil {
 				return err
 			}
-			rel, _ := filepath.Rel(root, path)
+			rel, err := filepath.Rel(root, path)
+			if err != nil {
+				return err
+			}
 			switch {
 			case d.IsDir() && (rel == "internal/lab" || rel == "internal/faultinjection"):
 				return fs.SkipDir
@@ -40,15 +43,15 @@
 	return all
 }
 
-// Every point that is told stands in the code, and every one in the code is told.
-func TestPointsStandInTheCode(t *testing.T) {
+// Every documented point is in the code, and every one in the code is documented.
+func TestPointsAreInTheCode(t *testing.T) {
 	at := regexp.MustCompile(`"((?:handover|fleet|council|owner|list)-[a-z-]+|start)"`)
 	found := map[string]int{}
 	for _, text := range sources(t) {
 		if !strings.Contains(text, "faultinjection.At(") {
 			continue
 		}
-		for _, line := range strings.Split(text, "\n") {
+		for line := range strings.SplitSeq(text, "\n") {
 			if !strings.Contains(line, "faultinjection.At(") && !strings.Contains(line, "point string") {
 				continue
 			}
@@ -59,28 +62,28 @@
 	}
 	for name, n := range found {
 		if Points[name] == "" || n != 1 {
-			t.Errorf("%s stands in the code %d times, and is told as %q", name, n, Points[name])
+			t.Errorf("%s is in the code %d times, and documented as %q", name, n, Points[name])
 		}
 	}
 	for name := range Points {
 		if found[name] == 0 {
-			t.Errorf("%s is told, and stands nowhere in the code", name)
+			t.Errorf("%s is documented, and not in the code", name)
 		}
 	}
 }
 
-// The wall clock is read by wallclock alone: its time may step, and a span that
-// is measured by it steps, too. Files are touched by disk alone.
-func TestOnePlaceForClockAndFiles(t *testing.T) {
-	wall := regexp.MustCompile(`time\.Now\(\)\.(Unix|Format|UTC|Local|Round|Date|Truncate|Equal|Year)`)
+// The wall clock is read by wallclock alone: its time may step, and a duration that is
+// measured by it steps, too. Files are changed by disk alone.
+func TestOnePackageForClockAndFiles(t *testing.T) {
+	wallClock := regexp.MustCompile(`time\.Now\(\)\.(Unix|Format|UTC|Local|Round|Date|Truncate|Equal|Year)`)
 	files := regexp.MustCompile(`os\.(WriteFile|Rename|CreateTemp|Create|MkdirAll)\(`)
 	for path, text := range sources(t) {
 		for i, line := range strings.Split(text, "\n") {
-			if wall.MatchString(line) {
-				t.Errorf("%s:%d reads the wall clock by itself: %s", path, i+1, strings.TrimSpace(line))
+			if wallClock.MatchString(line) {
+				t.Errorf("%s:%d reads the wall clock without package wallclock: %s", path, i+1, strings.TrimSpace(line))
 			}
 			if files.MatchString(line) && !strings.HasPrefix(path, "internal/disk/") {
-				t.Errorf("%s:%d changes files by itself: %s", path, i+1, strings.TrimSpace(line))
+				t.Errorf("%s:%d changes files without package disk: %s", path, i+1, strings.TrimSpace(line))
 			}
 		}
 	}
