--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The clock is the machine's own, which counts a suspended machine's time too: the one
-// that the kernel tells as uptime, the same for all processes.
-func TestIsTheMachinesUptime(t *testing.T) {
+// The clock is the one that the kernel reports as uptime: it includes the time for which
+// the machine was suspended, and is the same for all processes.
+func TestNowIsTheUptime(t *testing.T) {
 	before := Now()
 	text, err := os.ReadFile("/proc/uptime")
 	if err != nil {
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const step = 10 * time.Millisecond // of /proc/uptime, cut off
+	const step = 10 * time.Millisecond // of /proc/uptime, truncated
 	found := time.Duration(seconds * float64(time.Second))
 	if found+step < before || found > after {
 		t.Errorf("found an uptime of %v, wanted it between %v and %v", found, before, after)
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,107 +1,133 @@
-// Package disk is the one way in which the program uses files: whole
-// replacements, appends, locks and reads. Builds with the tag "faults" can make
-// each fail (package faultinjection); all others call the system as it is.
+// Package disk is how the program uses files: it replaces, opens, renames and reads
+// them. Builds with the tag "faults" can make each operation fail (package
+// faultinjection); all others call the operating system as it is.
 package disk
 
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 
 	"otterspring/internal/faultinjection"
 )
 
-// Read reads a file whole.
+// The operations that a fault can name.
+const (
+	opOpen   = "open"
+	opRead   = "read"
+	opWrite  = "write"
+	opSync   = "sync"
+	opRename = "rename"
+	opMkdir  = "mkdir"
+)
+
+// fileMode is that of the files that Replace writes: what they contain is for their
+// owner alone.
+const fileMode = 0o600
+
+// errTorn is the error of a write that a fault has torn.
+var errTorn = errors.New("torn write")
+
+// Read returns the content of a file.
 func Read(path string) ([]byte, error) {
-	if err := faultinjection.DiskError("read", path); err != nil {
+	if err := faultinjection.DiskError(opRead, path); err != nil {
 		return nil, err
 	}
 	return os.ReadFile(path)
 }
 
-// Replace writes a file whole or not at all, with mode 0600: who reads it finds
-// the old text or the new one, also after a crash of the process. Two goroutines of a
-// process must not replace one file at a time. Durable puts
-// it on the disk before it returns, so that a crash of the machine loses nothing
-// either. After an error the old file stands, and nothing is left beside it.
+// Replace replaces a file atomically, with mode 0600: a reader finds the old text or the
+// new one, also after a crash of the process. If durable, the text is on the disk when
+// Replace returns, so that a crash of the machine loses nothing either. After an error
+// the old file remains, and no other is left beside it. Two goroutines of a process must
+// not replace one file at the same time.
 func Replace(path string, text []byte, durable bool) error {
-	tmp, err := create(path)
+	temporary, err := createTemporary(path)
 	if err != nil {
 		return err
 	}
-	err = write(tmp, path, text)
+	err = write(temporary, path, text)
 	if err == nil && durable {
-		if err = faultinjection.DiskError("sync", path); err == nil {
-			err = tmp.Sync()
-		}
+		err = syncFile(temporary, path)
 	}
-	err = errors.Join(err, tmp.Close())
+	err = errors.Join(err, temporary.Close())
 	if err == nil {
-		err = Rename(tmp.Name(), path)
+		err = Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		os.Remove(tmp.Name())
+		if removeErr := os.Remove(temporary.Name()); removeErr != nil {
+			slog.Warn("temporary file was not removed", "path", temporary.Name(), "error", removeErr)
+		}
 		return err
 	}
 	if durable {
-		return syncDir(filepath.Dir(path))
+		return syncDirectory(filepath.Dir(path))
 	}
 	return nil
 }
 
-func create(path string) (*os.File, error) {
-	if err := faultinjection.DiskError("open", path); err != nil {
+// createTemporary creates the file that replaces path. Its name has the process ID: two
+// processes of an instance may replace a file at the same time, and what a killed one
+// left is overwritten.
+func createTemporary(path string) (*os.File, error) {
+	if err := faultinjection.DiskError(opOpen, path); err != nil {
 		return nil, err
 	}
-	// By the process's number: two processes of an instance may write beside each
-	// other, and what one that was killed left is written over, not added to.
-	return os.OpenFile(fmt.Sprintf("%s.new-%d", path, os.Getpid()), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	return os.OpenFile(fmt.Sprintf("%s.new-%d", path, os.Getpid()), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 }
 
-func write(f *os.File, path string, text []byte) error {
-	if err := faultinjection.DiskError("write", path); err != nil {
+func write(file *os.File, path string, text []byte) error {
+	if err := faultinjection.DiskError(opWrite, path); err != nil {
 		return err
 	}
 	if faultinjection.TornWrite(path) {
-		f.Write(text[:len(text)/2])
-		return errors.New(path + ": torn")
+		_, err := file.Write(text[:len(text)/2])
+		return fmt.Errorf("%s: %w", path, errors.Join(errTorn, err))
 	}
-	_, err := f.Write(text)
+	_, err := file.Write(text)
 	return err
 }
 
-// syncDir puts a folder's entries on the disk.
-func syncDir(dir string) error {
-	if err := faultinjection.DiskError("sync", dir); err != nil {
+func syncFile(file *os.File, path string) error {
+	if err := faultinjection.DiskError(opSync, path); err != nil {
+		return err
+	}
+	return file.Sync()
+}
+
+// syncDirectory writes a directory's entries to the disk.
+func syncDirectory(path string) error {
+	if err := faultinjection.DiskError(opSync, path); err != nil {
 		return err
 	}
-	d, err := os.Open(dir)
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Rename gives a file another name, in place of what has it.
+// Rename renames a file, and replaces the one that has the new name.
 func Rename(from, to string) error {
-	if err := faultinjection.DiskError("rename", to); err != nil {
+	if err := faultinjection.DiskError(opRename, to); err != nil {
 		return err
 	}
 	return os.Rename(from, to)
 }
 
-// Open opens a file as os.OpenFile does.
+// Open opens a file like os.OpenFile.
 func Open(path string, flag int, mode os.FileMode) (*os.File, error) {
-	if err := faultinjection.DiskError("open", path); err != nil {
+	if err := faultinjection.DiskError(opOpen, path); err != nil {
 		return nil, err
 	}
 	return os.OpenFile(path, flag, mode)
 }
 
-// MkdirAll makes a folder and those above it.
+// MkdirAll creates a directory and those above it like os.MkdirAll.
 func MkdirAll(path string, mode os.FileMode) error {
-	if err := faultinjection.DiskError("mkdir", path); err != nil {
+	if err := faultinjection.DiskError(opMkdir, path); err != nil {
 		return err
 	}
 	return os.MkdirAll(path, mode)
--- a/internal/disk/on_test.go
+++ b/internal/disk/faults_test.go
@@ -10,8 +10,8 @@
 	"otterspring/internal/faultinjection"
 )
 
-// Whatever fails while a file is replaced, the old one stands whole and nothing
-// is left beside it.
+// Whichever operation of a replacement fails, the old file remains complete and no
+// other is left beside it.
 func TestReplaceUnderFaults(t *testing.T) {
 	faults, dir := t.TempDir(), t.TempDir()
 	t.Setenv(faultinjection.DirectoryEnv, faults)
@@ -25,12 +25,14 @@
 		if err := os.WriteFile(tmp, []byte(fault+" state.json\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		os.Rename(tmp, filepath.Join(faults, "n1"))
+		if err := os.Rename(tmp, filepath.Join(faults, "n1")); err != nil {
+			t.Fatal(err)
+		}
 		if err := Replace(path, []byte("a newer text"), true); err == nil {
 			t.Errorf("%s: no error", fault)
 		}
 		if text, err := os.ReadFile(path); string(text) != "old" {
-			t.Errorf("%s: %q stands there (%v), wanted the old text", fault, text, err)
+			t.Errorf("%s: found %q (%v), wanted the old text", fault, text, err)
 		}
 		if all, _ := os.ReadDir(dir); len(all) != 1 {
 			t.Errorf("%s: left %v", fault, all)
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -342,9 +342,9 @@
 	{Name: "causes-unbounded", File: "internal/logging/logging.go", Breaks: "the table of causes grows without end",
 		Old: "\tif len(l.causes) >= maxCauses {\n\t\tname = otherCauses\n\t}\n", New: ""},
 	{Name: "open-socket", File: "internal/unixsocket/unixsocket.go", Breaks: "every user may speak to a control socket",
-		Old: "0o600) })", New: "0o666) })"},
+		Old: "const socketMode = 0o600", New: "const socketMode = 0o666"},
 	{Name: "mask-of-all", File: "internal/unixsocket/unixsocket.go", Breaks: "files written while a socket is bound lose their bits",
-		Old: "\tln, err := config.Listen(", New: "\told := unix.Umask(0o177)\n\tdefer unix.Umask(old)\n\tln, err := config.Listen("},
+		Old: "\tlistener, err := config.Listen(", New: "\told := unix.Umask(0o177)\n\tdefer unix.Umask(old)\n\tlistener, err := config.Listen("},
 	{Name: "tenants-alike", File: "balance/budget.go", Breaks: "a tenant above its part crowds the others out",
 		Old: "return mine / quota * (1 - quota) / rest / overSlack", New: "return min(1, mine/quota*(1-quota)/rest/overSlack)"},
 
--- a/internal/unixsocket/unixsocket.go
+++ b/internal/unixsocket/unixsocket.go
@@ -1,4 +1,4 @@
-// Package unixsocket listens on Unix sockets that only their owner may use.
+// Package unixsocket listens on Unix sockets that only their owner may connect to.
 package unixsocket
 
 import (
@@ -9,23 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen binds path with mode 0600, less what the process's mask takes away. The
-// mode is set on the socket before it is bound, and Linux makes the file with
-// it: there is no moment in which others may connect, as there is with a chmod
-// afterwards. A mask of the process set for the moment of the bind would also
-// apply to every file that any other goroutine makes meanwhile, and two of them
-// at once can leave it set for good.
+// socketMode lets the owner connect.
+const socketMode = 0o600
+
+// Listen binds path with mode 0600, less the bits of the process's umask. The mode is set
+// on the socket before it is bound, and Linux creates the file with it: there is no
+// moment in which others may connect, as there is with a chmod afterwards. A umask set
+// for the moment of the bind would also apply to every file that other goroutines create
+// meanwhile, and two of them concurrently can leave it set.
 func Listen(path string) (*net.UnixListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
-		if err := raw.Control(func(fd uintptr) { failed = unix.Fchmod(int(fd), 0o600) }); err != nil {
+		var chmodErr error
+		if err := raw.Control(func(fd uintptr) { chmodErr = unix.Fchmod(int(fd), socketMode) }); err != nil {
 			return err
 		}
-		return failed
+		return chmodErr
 	}}
-	ln, err := config.Listen(context.Background(), "unix", path)
+	listener, err := config.Listen(context.Background(), "unix", path)
 	if err != nil {
 		return nil, err
 	}
-	return ln.(*net.UnixListener), nil
+	return listener.(*net.UnixListener), nil
 }
--- a/internal/unixsocket/unixsocket_test.go
+++ b/internal/unixsocket/unixsocket_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Sockets bound by several goroutines at once have mode 0600, and the files that
-// others make meanwhile and afterwards keep theirs.
+// Sockets that several goroutines bind concurrently have mode 0600, and files that are
+// created meanwhile and afterwards have their own.
 func TestModes(t *testing.T) {
 	dir := t.TempDir()
 	mode := func(name string) os.FileMode {
@@ -34,7 +34,9 @@
 					return
 				}
 				ln.SetUnlinkOnClose(false)
-				ln.Close()
+				if err := ln.Close(); err != nil {
+					t.Error(err)
+				}
 				program(fmt.Sprintf("p%d.%d", g, i))
 			}
 		})
@@ -47,11 +49,11 @@
 				t.Fatalf("a socket of mode %o, want 600", m)
 			}
 			if m := mode(fmt.Sprintf("p%d.%d", g, i)); m != 0o700 {
-				t.Fatalf("a program made meanwhile has mode %o, want 700", m)
+				t.Fatalf("a program created meanwhile has mode %o, want 700", m)
 			}
 		}
 	}
 	if m := mode("after"); m != 0o700 {
-		t.Fatalf("a program made afterwards has mode %o, want 700", m)
+		t.Fatalf("a program created afterwards has mode %o, want 700", m)
 	}
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,6 +1,6 @@
-// Package wallclock is the one place at which the program reads the wall clock.
-// What it tells may step, stand or run at another pace than true time; spans are
-// measured by time.Now and time.Since, whose monotonic reading does none of that.
+// Package wallclock is how the program reads the wall clock, which may step, stop or
+// drift. Durations are measured by time.Now and time.Since, whose monotonic reading does
+// none of that.
 // Builds with the tag "faults" can shift it (package faultinjection).
 package wallclock
 
@@ -10,6 +10,6 @@
 	"otterspring/internal/faultinjection"
 )
 
-// Now is the wall clock's time. It has no monotonic reading, so that a span
-// between two of them shows what the wall clock did.
+// Now returns the wall clock's time. It has no monotonic reading, so the difference of
+// two of them includes the steps between them.
 func Now() time.Time { return faultinjection.WallClock() }
