--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -41,7 +41,7 @@
 // configCommand is `otterspring config` with its verbs.
 func configCommand(out io.Writer) *cobra.Command {
 	options := &configOptions{out: out}
-	command := cli.Root("config", "change and read the settings of services, and see where they are in force",
+	command := cli.NewGroup("config", "change and read the settings of services, and see where they are in force",
 		"config changes the settings of a region's services in its council (docs/operate/configuration.md), from\n"+
 			"where relays bring them to all sidecars. Exit codes: 0 done, 1 refused or it could not be done, 2 usage,\n"+
 			"3 the service has another version than -if-version says.",
--- a/cmd/otterspring/council.go
+++ b/cmd/otterspring/council.go
@@ -25,7 +25,7 @@
 
 // councilCommand is `otterspring council` with its verbs.
 func councilCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("council", "agree on one owner for work on behalf of the fleet",
+	return cli.NewGroup("council", "agree on one owner for work on behalf of the fleet",
 		"council runs one of 3 or 5 members that agree on who does what for all hosts\n"+
 			"(docs/operate/council.md), and asks them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
 		councilRun(log), councilCheck(out), councilStatus(out), councilDuties(out), councilStepDown(out), councilMembers(out),
@@ -190,7 +190,7 @@
 			return nil
 		})
 	}
-	return cli.Root("members", "change the members, one at a time", "members add NUMBER ADDRESS lets a new member hear (run it with -join, from a file that names it); it counts\n"+
+	return cli.NewGroup("members", "change the members, one at a time", "members add NUMBER ADDRESS lets a new member hear (run it with -join, from a file that names it); it counts\n"+
 		"as soon as it is near. members remove NUMBER ends one; its number is not given again.",
 		change(client.AddMember, "add FILE NUMBER ADDRESS", "add a member", 2), change(client.RemoveMember, "remove FILE NUMBER", "remove a member", 1))
 }
--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -24,7 +24,7 @@
 
 // fleetCommand is `otterspring fleet` with its verbs.
 func fleetCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	fleetOf := cli.Root("fleet", "run many sidecars on a host, restart and reload them",
+	fleetOf := cli.NewGroup("fleet", "run many sidecars on a host, restart and reload them",
 		"fleet supervises the instances that a file describes (docs/operate/fleet.md). run does so\n"+
 			"until SIGTERM or SIGINT, and then stops them; the other verbs ask the supervisor that\n"+
 			"runs, over its control socket. If it is killed the instances live on; the next one\n"+
--- a/cmd/otterspring/main.go
+++ b/cmd/otterspring/main.go
@@ -14,7 +14,7 @@
 
 var (
 	errUsage = cli.ErrUsage
-	errSaid  = cli.ErrSaid
+	errSaid  = cli.ErrReported
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -31,16 +31,16 @@
 func run(args []string, out, errw io.Writer) int {
 	var log *logging.Options
 	logger := func() *slog.Logger { return logging.New(out, *log) }
-	root := cli.Root("otterspring", "the operators' command",
+	root := cli.NewGroup("otterspring", "the operators' command",
 		"otterspring checks files before they are used, runs fleets of sidecars, councils and\n"+
 			"relays of configuration, and changes the settings of services. Exit codes:\n"+
 			"0 done, 1 a check failed or it could not be done, 2 usage, 3 a version conflict (config put).\n"+
 			"Flags may have one dash or two.",
 		checkCommand(out), fleetCommand(out, logger), councilCommand(out, logger), relayCommand(out, logger), configCommand(out))
-	log = cli.LogFlags(root)
+	log = cli.AddLogFlags(root)
 	root.SetOut(out)
 	root.SetErr(errw)
-	root.SetArgs(cli.TwoDashes(args))
+	root.SetArgs(cli.NormalizeFlags(args))
 	err := root.Execute()
 	switch {
 	case err == nil:
@@ -48,7 +48,7 @@
 	case errors.Is(err, errSaid):
 		return exitFailed
 	}
-	cli.Fail(errw, "otterspring", log, err)
+	cli.ReportError(errw, "otterspring", log, err)
 	switch {
 	case errors.Is(err, errUsage):
 		return exitUsage
--- a/cmd/otterspring/relay.go
+++ b/cmd/otterspring/relay.go
@@ -25,7 +25,7 @@
 
 // relayCommand is `otterspring relay` with its verbs.
 func relayCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("relay", "serve a region's configuration to the sidecars of a zone",
+	return cli.NewGroup("relay", "serve a region's configuration to the sidecars of a zone",
 		"relay follows the council of a region and serves its configuration to the sidecars of a zone\n"+
 			"(docs/operate/configuration.md). It keeps no file. SIGTERM and SIGINT hand the subscribers on\n"+
 			"within the file's drain; a second one ends it at once. Exit codes: 0 done, 1 it could not be\n"+
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -89,7 +89,7 @@
 		code = 3
 	}
 	if !errors.Is(err, errSaid) {
-		cli.Fail(os.Stderr, "rig", &log, err)
+		cli.ReportError(os.Stderr, "rig", &log, err)
 	}
 	return code
 }
@@ -100,15 +100,15 @@
 	for i := range commands {
 		subs = append(subs, commands[i].cobra(out))
 	}
-	root := cli.Root("rig", "plays otterspring's own rigs, all on loopback, no root needed",
+	root := cli.NewGroup("rig", "plays otterspring's own rigs, all on loopback, no root needed",
 		"rig plays otterspring's own rigs: all on loopback, no root needed. The last line is\n"+
 			"key=value figures. Exit codes: 0 kept, 1 a rule broke or a promise failed, 2 usage,\n"+
 			"3 a run that shows nothing. Flags may have one dash or two.", subs...)
-	flags := cli.LogFlags(root)
+	flags := cli.AddLogFlags(root)
 	defer func() { *log = *flags }()
 	root.SetOut(out)
 	root.SetErr(errw)
-	root.SetArgs(cli.TwoDashes(args))
+	root.SetArgs(cli.NormalizeFlags(args))
 	return root.ExecuteContext(ctx)
 }
 
--- a/cmd/rig/storm.go
+++ b/cmd/rig/storm.go
@@ -29,7 +29,7 @@
 // output already.
 var (
 	errVoid = errors.New("a run is void: it shows nothing")
-	errSaid = cli.ErrSaid
+	errSaid = cli.ErrReported
 )
 
 // words collects a flag that may come several times.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what otterspring's commands share: flags with one dash or two,
-// usage errors in one line, and the exit codes that scripts rely on.
+// Package cli is what the commands of otterspring and rig share: flags with one dash or
+// two, usage errors in one line, and the exit codes that scripts rely on.
 package cli
 
 import (
@@ -7,6 +7,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"log/slog"
 	"regexp"
 	"strings"
 
@@ -15,77 +16,80 @@
 	"otterspring/internal/logging"
 )
 
-// ErrUsage is a call whose words are off; ErrSaid a fault that stands in the
-// output already, so that no further line is wanted.
 var (
+	// ErrUsage is a malformed call of a command.
 	ErrUsage = errors.New("usage")
-	ErrSaid  = errors.New("a check failed, and said why")
+	// ErrReported is a fault that the output has already: no further line is wanted.
+	ErrReported = errors.New("a check failed, and its output says why")
 )
 
-var oneDash = regexp.MustCompile(`^-[a-z][a-z0-9-]+(=.*)?$`)
+// singleDash matches a flag of several letters with one dash.
+var singleDash = regexp.MustCompile(`^-[a-z][a-z0-9-]+(=.*)?$`)
 
-// TwoDashes lets flags have one dash, as they had before cobra and as the pages
-// write them; one letter is a short flag.
-func TwoDashes(args []string) []string {
-	out := make([]string, len(args))
-	for i, a := range args {
-		if oneDash.MatchString(a) {
-			a = "-" + a
+// NormalizeFlags gives flags with one dash, as the pages write them, the two that cobra
+// wants. Flags of one letter are short flags.
+func NormalizeFlags(args []string) []string {
+	normalized := make([]string, len(args))
+	for i, arg := range args {
+		if singleDash.MatchString(arg) {
+			arg = "-" + arg
 		}
-		out[i] = a
+		normalized[i] = arg
 	}
-	return out
+	return normalized
 }
 
-// Root makes a program's command: without a subcommand it shows its help, and
-// what is no subcommand is a usage error that names all.
-func Root(use, short, long string, subs ...*cobra.Command) *cobra.Command {
-	var names []string
-	for _, s := range subs {
-		names = append(names, s.Name())
+// NewGroup returns a command that has subcommands. Without one it prints its help; an
+// unknown one is an ErrUsage that names all.
+func NewGroup(use, short, long string, subcommands ...*cobra.Command) *cobra.Command {
+	names := make([]string, 0, len(subcommands))
+	for _, subcommand := range subcommands {
+		names = append(names, subcommand.Name())
 	}
-	root := &cobra.Command{
+	known := strings.Join(names, ", ")
+	group := &cobra.Command{
 		Use: use, Short: short, Long: long, SilenceErrors: true, SilenceUsage: true, DisableAutoGenTag: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return fmt.Errorf("%w: found %q, wanted one of %s; %s help says more", ErrUsage, args[0], strings.Join(names, ", "), use)
+				return fmt.Errorf("%w: found %q, wanted one of %s; %s help says more", ErrUsage, args[0], known, use)
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, _ []string) error {
-			c.Help()
-			return fmt.Errorf("%w: wanted a command", ErrUsage)
+		RunE: func(command *cobra.Command, _ []string) error {
+			return errors.Join(fmt.Errorf("%w: wanted a command", ErrUsage), command.Help())
 		},
 	}
-	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
-		return fmt.Errorf("%w: %s: %s", ErrUsage, c.Name(), strings.ReplaceAll(err.Error(), "\n", " "))
+	group.SetFlagErrorFunc(func(command *cobra.Command, err error) error {
+		return fmt.Errorf("%w: %s: %s", ErrUsage, command.Name(), strings.ReplaceAll(err.Error(), "\n", " "))
 	})
-	root.AddCommand(subs...)
-	root.SetHelpCommand(&cobra.Command{Use: "help [COMMAND]", Short: "help about a command", RunE: func(_ *cobra.Command, args []string) error {
-		c, rest, err := root.Find(args)
-		if err != nil || len(rest) > 0 {
-			return fmt.Errorf("%w: help: found %q, wanted a command: one of %s", ErrUsage, args[len(args)-1], strings.Join(names, ", "))
+	group.AddCommand(subcommands...)
+	group.SetHelpCommand(&cobra.Command{Use: "help [COMMAND]", Short: "help about a command", RunE: func(_ *cobra.Command, args []string) error {
+		command, unknown, err := group.Find(args)
+		if err != nil || len(unknown) > 0 {
+			return fmt.Errorf("%w: help: found %q, wanted a command: one of %s", ErrUsage, args[len(args)-1], known)
 		}
-		return c.Help()
+		return command.Help()
 	}})
-	return root
+	return group
 }
 
-// LogFlags gives a program and all its commands -log-format and -log-level.
-func LogFlags(root *cobra.Command) *logging.Options {
-	o := &logging.Options{}
-	f := flag.NewFlagSet("", flag.ContinueOnError)
-	o.Flags(f)
-	root.PersistentFlags().AddGoFlagSet(f)
-	return o
+// AddLogFlags adds -log-format and -log-level to a command and all its subcommands. The
+// options are set once the flags have been parsed.
+func AddLogFlags(command *cobra.Command) *logging.Options {
+	options := &logging.Options{}
+	flags := flag.NewFlagSet("", flag.ContinueOnError)
+	options.Flags(flags)
+	command.PersistentFlags().AddGoFlagSet(flags)
+	return options
 }
 
-// Fail says why a program ends: a plain line for a person, an object where the
-// log is one of objects.
-func Fail(errw io.Writer, program string, o *logging.Options, err error) {
-	if o.JSON {
-		logging.New(errw, *o).Error(program+" ends", "why", err)
+// ReportError writes why a program ends: a plain line, or an object if the log is JSON.
+func ReportError(w io.Writer, program string, options *logging.Options, err error) {
+	if options.JSON {
+		logging.New(w, *options).Error("program failed", "program", program, "error", err)
 		return
 	}
-	fmt.Fprintf(errw, "%s: %v\n", program, err)
+	if _, writeErr := fmt.Fprintf(w, "%s: %v\n", program, err); writeErr != nil {
+		slog.Debug("error was not written", "error", writeErr)
+	}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestTwoDashes(t *testing.T) {
+func TestNormalizeFlags(t *testing.T) {
 	for args, want := range map[string]string{
 		"-seeds 1..2 x": "--seeds 1..2 x", "--seeds 1 -o f": "--seeds 1 -o f", "-set a.b=-1 -jobs -1": "--set a.b=-1 --jobs -1", "-set=a=b": "--set=a=b", "- -- -1": "- -- -1",
 	} {
-		if got := strings.Join(TwoDashes(strings.Fields(args)), " "); got != want {
+		if got := strings.Join(NormalizeFlags(strings.Fields(args)), " "); got != want {
 			t.Errorf("%q: %q, want %q", args, got, want)
 		}
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 		var b bytes.Buffer
 		log := New(&b, Options{Burst: 3, Every: 10 * time.Second}).With("instance", "n1")
 		for i := range 1000 {
-			log.Warn("discovery failed", "why", i)
+			log.Warn("discovery failed", "error", i)
 			time.Sleep(time.Millisecond)
 		}
 		log.Info("another")
@@ -33,11 +33,11 @@
 			t.Fatalf("%d lines: %s", len(got), &b)
 		}
 		time.Sleep(10 * time.Second)
-		log.Warn("discovery failed", "why", "again")
+		log.Warn("discovery failed", "error", "again")
 		if got := lines(&b); len(got) != 5 || !strings.Contains(got[4], "suppressed=997") {
 			t.Fatalf("the next line: %s", got[len(got)-1])
 		}
-		log.Warn("discovery failed", "why", "again")
+		log.Warn("discovery failed", "error", "again")
 		if got := lines(&b); strings.Contains(got[len(got)-1], "suppressed") {
 			t.Fatalf("counted twice: %s", got[len(got)-1])
 		}
