--- a/internal/sidecar/entrypoint/handover.go
+++ b/internal/sidecar/entrypoint/handover.go
@@ -58,7 +58,7 @@
 // awaitPredecessor receives what is reported to the predecessor until that one ends. It
 // runs in a separate goroutine.
 func (p *process) awaitPredecessor(predecessor *handover.Predecessor) {
-	predecessor.AwaitDrained(p.sidecar.Hear, p.sidecar.InheritCoAP)
+	predecessor.AwaitDrained(p.sidecar.ApplyEndpointList, p.sidecar.InheritCoAP)
 	p.sidecar.PredecessorEnded()
 	p.sidecar.OffEndpointList()
 }
@@ -79,7 +79,7 @@
 	p.detachPredecessor()
 	p.offer.Close()
 	p.sidecar.OnEndpointList(successor.SendEndpointList)
-	successor.SendEndpointList(p.sidecar.Held()) // includes what has arrived since the handover began
+	successor.SendEndpointList(p.sidecar.EndpointList()) // includes what has arrived since the handover began
 	if state := p.sidecar.HandOverCoAP(); state != nil {
 		successor.SendCoAPState(state)
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -16,20 +16,21 @@
 // Listener returns the listening socket for the successor.
 func (s *Sidecar) Listener() *net.TCPListener { return s.httpServer.Listener() }
 
-// Packets returns the CoAP socket for the successor, nil for none.
-func (s *Sidecar) Packets() *net.UDPConn {
+// CoAPSocket returns the CoAP socket for the successor, nil for none.
+func (s *Sidecar) CoAPSocket() *net.UDPConn {
 	if s.coapServer == nil {
 		return nil
 	}
 	return s.coapServer.Socket()
 }
 
-// Held returns this process's endpoint list, in discovery's form.
-func (s *Sidecar) Held() []byte { return discovery.Marshal(s.dispatcher.Endpoints()) }
+// EndpointList returns this process's endpoint list, in discovery's form.
+func (s *Sidecar) EndpointList() []byte { return discovery.Marshal(s.dispatcher.Endpoints()) }
 
-// Hear applies the other process's endpoint list if it is newer than the own one. The
-// versions of both come from the same discovery. A malformed list is logged and ignored.
-func (s *Sidecar) Hear(text []byte) {
+// ApplyEndpointList applies the other process's endpoint list if it is newer than this
+// process's. The versions of both come from the same discovery. A malformed list is
+// logged and ignored.
+func (s *Sidecar) ApplyEndpointList(text []byte) {
 	list, err := discovery.Parse(text, coapupstream.Scheme)
 	if err != nil {
 		slog.Warn("malformed endpoint list of the other process in a handover", "error", err)
--- a/internal/sidecar/handover/exchange_test.go
+++ b/internal/sidecar/handover/exchange_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		heard := s.heard
+		heard := s.received
 		s.mu.Unlock()
 		if len(heard) == 1 {
 			return heard[0]
@@ -90,14 +90,14 @@
 	t.Parallel()
 	for _, descriptors := range []int{1, 2} {
 		s := newSource(t)
-		s.held = "the\nlist\n"
+		s.endpointList = "the\nlist\n"
 		if descriptors == 2 {
 			packets, err := net.ListenPacket("udp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { discard(packets) })
-			s.packets = packets.(*net.UDPConn)
+			s.coapSocket = packets.(*net.UDPConn)
 		}
 		o, path := offer(t, s, testTimeout)
 		conn, err := net.Dial("unix", path)
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -16,22 +16,26 @@
 
 const testTimeout = 20 * time.Second
 
-// source gives a listener and a list.
+// source is the state of an old process.
 type source struct {
-	ln      *net.TCPListener
-	packets *net.UDPConn
+	ln         *net.TCPListener
+	coapSocket *net.UDPConn
 
-	mu    sync.Mutex
-	held  string
-	heard []string
+	mu           sync.Mutex
+	endpointList string
+	received     []string
 }
 
 func (s *source) Listener() *net.TCPListener { return s.ln }
-func (s *source) Packets() *net.UDPConn      { return s.packets }
-func (s *source) Held() []byte               { s.mu.Lock(); defer s.mu.Unlock(); return []byte(s.held) }
-func (s *source) Hear(l []byte) {
+func (s *source) CoAPSocket() *net.UDPConn   { return s.coapSocket }
+func (s *source) EndpointList() []byte {
 	s.mu.Lock()
-	s.heard = append(s.heard, string(l))
+	defer s.mu.Unlock()
+	return []byte(s.endpointList)
+}
+func (s *source) ApplyEndpointList(l []byte) {
+	s.mu.Lock()
+	s.received = append(s.received, string(l))
 	s.mu.Unlock()
 }
 
@@ -42,7 +46,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { discard(ln) })
-	return &source{ln: ln.(*net.TCPListener), held: strings.Repeat("list ", 30000)}
+	return &source{ln: ln.(*net.TCPListener), endpointList: strings.Repeat("list ", 30000)}
 }
 
 func offer(t *testing.T, s *source, testTimeout time.Duration) (*Offer, string) {
@@ -68,8 +72,8 @@
 		t.Fatal(err)
 	}
 	defer predecessor.Close()
-	if string(predecessor.EndpointList) != s.held {
-		t.Errorf("a list of %d bytes came, want %d", len(predecessor.EndpointList), len(s.held))
+	if string(predecessor.EndpointList) != s.endpointList {
+		t.Errorf("a list of %d bytes came, want %d", len(predecessor.EndpointList), len(s.endpointList))
 	}
 	if err := predecessor.AnnounceReady(); err != nil {
 		t.Fatal(err)
@@ -95,30 +99,30 @@
 	got.Close()
 
 	// Lists pass both ways until the end.
-	heard := make(chan string, 2)
+	received := make(chan string, 2)
 	go func() {
-		predecessor.AwaitDrained(func(l []byte) { heard <- string(l) }, func(c []byte) { heard <- "coap " + string(c) })
-		heard <- "over"
+		predecessor.AwaitDrained(func(l []byte) { received <- string(l) }, func(c []byte) { received <- "coap " + string(c) })
+		received <- "drained"
 	}()
 	successor.SendEndpointList([]byte("from the old one"))
-	if l := <-heard; l != "from the old one" {
-		t.Errorf("heard %q", l)
+	if l := <-received; l != "from the old one" {
+		t.Errorf("received %q", l)
 	}
 	predecessor.SendEndpointList([]byte("from the new one"))
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		n := len(s.heard)
+		n := len(s.received)
 		s.mu.Unlock()
 		if n == 1 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the old one heard nothing")
+			t.Fatal("the old process received nothing")
 		}
 	}
 	successor.AnnounceDrained()
-	if l := <-heard; l != "over" {
-		t.Errorf("heard %q", l)
+	if l := <-received; l != "drained" {
+		t.Errorf("received %q", l)
 	}
 }
 
--- a/internal/sidecar/handover/offer.go
+++ b/internal/sidecar/handover/offer.go
@@ -24,10 +24,14 @@
 // Source is the state of an offering process. Its methods are called by goroutines of
 // the Offer.
 type Source interface {
+	// Listener returns the listening socket.
 	Listener() *net.TCPListener
-	Packets() *net.UDPConn // of CoAP; nil for none
-	Held() []byte          // the endpoint list
-	Hear([]byte)           // applies an endpoint list that the other process received
+	// CoAPSocket returns the socket of the CoAP server, nil for none.
+	CoAPSocket() *net.UDPConn
+	// EndpointList returns the current list, in discovery's form.
+	EndpointList() []byte
+	// ApplyEndpointList applies a list that the other process received, if it is newer.
+	ApplyEndpointList(list []byte)
 }
 
 // Offer offers a listener at a path, to one process at a time. It has a goroutine that
@@ -191,16 +195,16 @@
 		slog.Debug("handover connection has ended", "error", err)
 	}
 	successor := &Successor{conn: conn, disconnected: make(chan struct{})}
-	go successor.receive(reader, o.source.Hear)
+	go successor.receive(reader, o.source.ApplyEndpointList)
 	o.successors <- successor
 	return nil
 }
 
 // sendState sends the descriptors and the endpoint list.
 func (o *Offer) sendState(conn *net.UnixConn) error {
-	list := o.source.Held()
+	list := o.source.EndpointList()
 	announcement := fmt.Appendf(nil, "%s%d\n", lineGive, len(list))
-	if err := sendWithDescriptors(conn, announcement, o.source.Listener(), o.source.Packets()); err != nil {
+	if err := sendWithDescriptors(conn, announcement, o.source.Listener(), o.source.CoAPSocket()); err != nil {
 		return fmt.Errorf("sending the listener: %w", err)
 	}
 	if _, err := conn.Write(list); err != nil {
