--- a/cmd/otterspring/check.go
+++ b/cmd/otterspring/check.go
@@ -14,37 +14,39 @@
 func checkCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE...", Short: "check operators' files without starting anything",
-		Long: "check reads operators' files (deploy/operator.toml) as sandhinge does and says all that\n" +
-			"is wrong with each, a line a fault: file, line, key, what was found and what is wanted.\n" +
+		Long: "check reads operators' files (deploy/operator.toml) as sandhinge does and prints all errors\n" +
+			"of each, one a line: file, line, key, what was found and what is wanted.\n" +
 			"Nothing is started. Exit codes: 0 all are good, 1 one is not, 2 usage.",
 		DisableFlagsInUseLine: true,
-		RunE:                  func(_ *cobra.Command, files []string) error { return check(files, out) },
+		RunE:                  func(_ *cobra.Command, paths []string) error { return checkFiles(paths, out) },
 	}
 }
 
-// check reads operators' files and says what is wrong with them.
-func check(files []string, out io.Writer) error {
-	if len(files) == 0 {
+// checkFiles prints the errors of operators' files, or which features they enable. It
+// returns errReported if a file has an error.
+func checkFiles(paths []string, out io.Writer) error {
+	if len(paths) == 0 {
 		return fmt.Errorf("%w: check: wanted a file", errUsage)
 	}
-	bad := false
-	for _, path := range files {
-		f, errs := operator.LoadAll(path)
+	output := &printer{out: out}
+	failed := false
+	for _, path := range paths {
+		file, errs := operator.LoadAll(path)
+		for _, err := range errs {
+			output.println(err)
+			failed = true
+		}
 		if len(errs) > 0 {
-			for _, err := range errs {
-				fmt.Fprintln(out, err)
-			}
-			bad = true
 			continue
 		}
-		on := "everything is off"
-		if names := f.On(); len(names) > 0 {
-			on = "on: " + strings.Join(names, ", ")
+		enabled := "everything is off"
+		if names := file.On(); len(names) > 0 {
+			enabled = "on: " + strings.Join(names, ", ")
 		}
-		fmt.Fprintf(out, "%s: good; %s\n", path, on)
+		output.printf("%s: good; %s\n", path, enabled)
 	}
-	if bad {
-		return errSaid
+	if output.err == nil && failed {
+		return errReported
 	}
-	return nil
+	return output.err
 }
--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -20,19 +20,21 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// errConflict is a change that was made for another version than the service has.
+// errConflict is the failure of a change that is for another version than the service
+// has.
 var errConflict = errors.New("version conflict")
 
-// Bounds of a call to a council by the config command.
+// Bounds of a request of the config command.
 const (
-	configTryTimeout  = 10 * time.Second // of one question
-	configRetryPause  = 50 * time.Millisecond
-	completionTimeout = 2 * time.Second // of the names for a shell
+	configAttemptTimeout = 10 * time.Second
+	configBackoff        = 50 * time.Millisecond
+	completionTimeout    = 2 * time.Second // of the names for a shell
+	defaultConfigTimeout = 30 * time.Second
 )
 
-// configOptions are what all verbs of config share.
+// configOptions are the flags that all verbs of config share.
 type configOptions struct {
-	councilPath string
+	clusterPath string // file of the cluster
 	asJSON      bool
 	timeout     time.Duration
 	out         io.Writer
@@ -41,98 +43,107 @@
 // configCommand is `otterspring config` with its verbs.
 func configCommand(out io.Writer) *cobra.Command {
 	options := &configOptions{out: out}
-	command := cli.Root("config", "change and read the settings of services, and see where they are in force",
+	command := cli.Root("config", "change and read the settings of services, and show where they are in force",
 		"config changes the settings of a region's services in its council (docs/operate/configuration.md), from\n"+
-			"where relays bring them to all sidecars. Exit codes: 0 done, 1 refused or it could not be done, 2 usage,\n"+
-			"3 the service has another version than -if-version says.",
+			"where relays distribute them to all sidecars. Exit codes: 0 done, 1 rejected or it could not be done, 2 usage,\n"+
+			"3 the service has another version than -if-version.",
 		configPut(options), configGet(options), configList(options), configStatus(options))
 	flags := command.PersistentFlags()
-	flags.StringVar(&options.councilPath, "council", "", "the council's file")
+	flags.StringVar(&options.clusterPath, "council", "", "the council's file")
 	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object")
-	flags.DurationVar(&options.timeout, "timeout", 30*time.Second, "after which it could not be done")
+	flags.DurationVar(&options.timeout, "timeout", defaultConfigTimeout, "time limit of the command")
 	return command
 }
 
-// configVerb is a verb of config that takes a number of words.
-func (o *configOptions) configVerb(use, short string, words int, do func(ctx context.Context, f *server.Config, words []string) error) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		if len(args) != words {
-			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, c.Name(), plural(len(args), "word", "words"), use)
+// verb returns a verb of config with a fixed number of arguments. Its context ends at
+// the time limit.
+func (o *configOptions) verb(use, short string, argCount int, run func(ctx context.Context, config *server.Config, args []string) error) *cobra.Command {
+	command := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
+	command.RunE = func(_ *cobra.Command, args []string) error {
+		if len(args) != argCount {
+			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, command.Name(), plural(len(args), "word", "words"), use)
 		}
-		if o.councilPath == "" {
-			return fmt.Errorf("%w: config %s: found no -council, wanted the council's file", errUsage, c.Name())
+		if o.clusterPath == "" {
+			return fmt.Errorf("%w: config %s: found no -council, wanted the council's file", errUsage, command.Name())
 		}
 		if o.timeout <= 0 {
-			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, c.Name(), o.timeout)
+			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, command.Name(), o.timeout)
 		}
-		f, err := server.LoadConfig(o.councilPath)
+		config, err := server.LoadConfig(o.clusterPath)
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
+		ctx, cancel := context.WithTimeout(command.Context(), o.timeout)
 		defer cancel()
-		return do(ctx, f, args)
+		return run(ctx, config, args)
 	}
-	return c
+	return command
 }
 
-// ofService is a verb of config that takes the name of a service, which shells complete.
-func (o *configOptions) ofService(use, short string, do func(ctx context.Context, f *server.Config, service string) error) *cobra.Command {
-	c := o.configVerb(use, short, 1, func(ctx context.Context, f *server.Config, words []string) error { return do(ctx, f, words[0]) })
-	c.ValidArgsFunction = func(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
+// serviceVerb returns a verb of config that takes the name of a service, which shells
+// complete.
+func (o *configOptions) serviceVerb(use, short string, run func(ctx context.Context, config *server.Config, service string) error) *cobra.Command {
+	command := o.verb(use, short, 1, func(ctx context.Context, config *server.Config, args []string) error {
+		return run(ctx, config, args[0])
+	})
+	command.ValidArgsFunction = func(c *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
 		if len(args) > 0 {
 			return nil, cobra.ShellCompDirectiveNoFileComp
 		}
-		return o.serviceNames(), cobra.ShellCompDirectiveNoFileComp
+		return o.serviceNames(c.Context()), cobra.ShellCompDirectiveNoFileComp
 	}
-	return c
+	return command
 }
 
-// serviceNames are the services that a council knows; none where it does not answer.
-func (o *configOptions) serviceNames() []string {
-	f, err := server.LoadConfig(o.councilPath)
+// serviceNames returns the names of all services; none where the cluster does not
+// respond.
+func (o *configOptions) serviceNames(ctx context.Context) []string {
+	config, err := server.LoadConfig(o.clusterPath)
 	if err != nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
+	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
-	a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
+	response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration})
 	if err != nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(a.Services))
+	return slices.Sorted(maps.Keys(response.Services))
 }
 
-// askConfiguration asks a council what may be asked twice, until it answers or ctx
-// ends. An answer that is not known is asked for again.
-func askConfiguration(ctx context.Context, f *server.Config, q client.Request) (*client.Response, error) {
-	client := client.NewClient(f.Name, f.Addresses())
-	defer client.Close()
+// requestConfiguration sends an idempotent request until the cluster answers it or ctx
+// ends, also where the outcome of an attempt is unknown. The error is errConflict, a
+// rejection or an unansweredError.
+func requestConfiguration(ctx context.Context, config *server.Config, request client.Request) (*client.Response, error) {
+	cluster := client.NewClient(config.Name, config.Addresses())
+	defer cluster.Close()
 	for {
-		tryCtx, cancel := context.WithTimeout(ctx, configTryTimeout)
-		a, err := client.Do(tryCtx, q)
+		attemptCtx, cancel := context.WithTimeout(ctx, configAttemptTimeout)
+		response, err := cluster.Do(attemptCtx, request)
 		cancel()
 		switch {
-		case err == nil && a.Conflict:
-			return nil, fmt.Errorf("%w: %s", errConflict, a.Rejection)
-		case err == nil && a.Rejection != "":
-			return nil, errors.New(a.Rejection)
+		case err == nil && response.Conflict:
+			return nil, fmt.Errorf("%w: %s", errConflict, response.Rejection)
+		case err == nil && response.Rejection != "":
+			return nil, errors.New(response.Rejection)
 		case err == nil:
-			return a, nil
+			return response, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, &unansweredError{err}
-		case <-time.After(configRetryPause):
+		case <-time.After(configBackoff):
 		}
 	}
 }
 
-// unansweredError is a question without an answer within the time that there was.
-type unansweredError struct{ last error }
+// unansweredError is the failure of a request without an answer within the time limit.
+// It wraps the error of the last attempt.
+type unansweredError struct{ cause error }
 
-func (e *unansweredError) Error() string { return e.last.Error() }
+func (e *unansweredError) Error() string { return e.cause.Error() }
+
+func (e *unansweredError) Unwrap() error { return e.cause }
 
 // printJSON prints one JSON object, indented.
 func (o *configOptions) printJSON(v any) error {
@@ -142,7 +153,7 @@
 	return encoder.Encode(v)
 }
 
-// putResult is what -json prints of a change that was applied.
+// putResult is what put prints with -json.
 type putResult struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -150,37 +161,44 @@
 }
 
 // configPut changes a service's settings.
-func configPut(o *configOptions) *cobra.Command {
+func configPut(options *configOptions) *cobra.Command {
 	var ifVersion, id string
-	c := o.configVerb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, f *server.Config, words []string) error {
-		change, err := newChange(words[0], id, ifVersion)
+	command := options.verb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, config *server.Config, args []string) error {
+		change, err := newChange(args[0], id, ifVersion)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ChangeConfiguration, Change: change})
-		var unanswered *unansweredError
-		if errors.As(err, &unanswered) {
-			return fmt.Errorf("service %s: not known whether it was changed: %w; the same with -id %s tells, and changes it once", change.Service, err, change.ID)
-		}
+		result, err := putChange(ctx, config, change)
 		if err != nil {
 			return err
 		}
-		result := putResult{Service: change.Service, Version: a.Resource.Version.String(), ID: change.ID}
-		if o.asJSON {
-			return o.printJSON(result)
+		if options.asJSON {
+			return options.printJSON(result)
 		}
-		_, err = fmt.Fprintf(o.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
-		return err
+		return printf(options.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
 	})
-	c.Flags().StringVar(&ifVersion, "if-version", "", "the version that the service has to have, SPACE.NUMBER; 0 creates it; empty for any")
-	c.Flags().StringVar(&id, "id", "", "the change's id, to repeat one by hand: one id is applied once; empty for a new one")
-	c.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+	command.Flags().StringVar(&ifVersion, "if-version", "", "the version that the service has to have, SPACE.NUMBER; 0 creates it; empty for any")
+	command.Flags().StringVar(&id, "id", "", "the change's id, to retry one by hand: one id is applied once; empty for a new one")
+	command.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return []string{"toml"}, cobra.ShellCompDirectiveFilterFileExt
 	}
-	return c
+	return command
+}
+
+// putChange sends a change. Where it is not known whether it was applied, the error
+// says how to find out.
+func putChange(ctx context.Context, config *server.Config, change *configuration.Change) (*putResult, error) {
+	response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ChangeConfiguration, Change: change})
+	if _, unanswered := errors.AsType[*unansweredError](err); unanswered {
+		return nil, fmt.Errorf("service %s: not known whether it was changed: %w; a retry with -id %s tells, and changes it once", change.Service, err, change.ID)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return &putResult{Service: change.Service, Version: response.Resource.Version.String(), ID: change.ID}, nil
 }
 
-// newChange makes a change of a file and the flags of put.
+// newChange returns the change for a file and the flags of put.
 func newChange(path, id, ifVersion string) (*configuration.Change, error) {
 	change := &configuration.Change{ID: id}
 	if ifVersion != "" {
@@ -204,7 +222,7 @@
 	return change, nil
 }
 
-// getResult is what -json prints of a service.
+// getResult is what get prints with -json.
 type getResult struct {
 	Service  string          `json:"service"`
 	Version  string          `json:"version"`
@@ -212,54 +230,54 @@
 }
 
 // configGet prints a service's settings as a file that put takes.
-func configGet(o *configOptions) *cobra.Command {
-	return o.ofService("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, f *server.Config, service string) error {
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
+func configGet(options *configOptions) *cobra.Command {
+	return options.serviceVerb("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, config *server.Config, service string) error {
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
-		resource := a.Resource
-		if o.asJSON {
-			return o.printJSON(getResult{Service: resource.Service, Version: resource.Version.String(), Settings: resource.Settings})
+		resource := response.Resource
+		if options.asJSON {
+			return options.printJSON(getResult{Service: resource.Service, Version: resource.Version.String(), Settings: resource.Settings})
 		}
 		text, err := servicefile.Encode(&servicefile.File{Service: resource.Service, Settings: resource.Settings})
 		if err != nil {
 			return fmt.Errorf("service %s: %w", service, err)
 		}
-		_, err = fmt.Fprintf(o.out, "# version %s\n%s", resource.Version, text)
-		return err
+		return printf(options.out, "# version %s\n%s", resource.Version, text)
 	})
 }
 
-// listedService is what -json prints of each service.
+// listedService is one service in what list prints with -json.
 type listedService struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 }
 
-// listResult is what -json prints of all services.
+// listResult is what list prints with -json.
 type listResult struct {
 	Services []listedService `json:"services"`
 }
 
-// configList prints the services of a council.
-func configList(o *configOptions) *cobra.Command {
-	return o.configVerb("list", "print all services with their versions", 0, func(ctx context.Context, f *server.Config, _ []string) error {
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
+// configList prints all services.
+func configList(options *configOptions) *cobra.Command {
+	return options.verb("list", "print all services with their versions", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration})
 		if err != nil {
 			return err
 		}
 		result := listResult{Services: []listedService{}}
-		for _, name := range slices.Sorted(maps.Keys(a.Services)) {
-			result.Services = append(result.Services, listedService{Service: name, Version: a.Services[name].String()})
+		for _, name := range slices.Sorted(maps.Keys(response.Services)) {
+			result.Services = append(result.Services, listedService{Service: name, Version: response.Services[name].String()})
 		}
-		if o.asJSON {
-			return o.printJSON(result)
+		if options.asJSON {
+			return options.printJSON(result)
 		}
+		output := &printer{out: options.out}
 		for _, service := range result.Services {
-			fmt.Fprintf(o.out, "%-32s %s\n", service.Service, service.Version)
+			output.printf("%-32s %s\n", service.Service, service.Version)
 		}
-		_, err = fmt.Fprintln(o.out, plural(len(result.Services), "service", "services"))
-		return err
+		output.println(plural(len(result.Services), "service", "services"))
+		return output.err
 	})
 }
--- a/cmd/otterspring/config_status.go
+++ b/cmd/otterspring/config_status.go
@@ -21,25 +21,25 @@
 
 // Bounds of the status of a service.
 const (
-	maxRelays         = 64
-	relayTimeout      = 5 * time.Second  // of one relay's answer
-	silentAfter       = 10 * time.Second // of a subscriber: several polls were missed
-	maxNamedOfAKind   = 20               // subscribers in the text; JSON has all
-	maxRefusalExcerpt = 120              // bytes of a relay's refusal in the text
+	maxRelays             = 64
+	relayTimeout          = 5 * time.Second  // of one relay's response
+	subscriberTimeout     = 10 * time.Second // without a poll: several were missed
+	maxListedSubscribers  = 20               // of one state in the text; JSON has all
+	maxErrorResponseBytes = 120              // of a relay's response in an error
 )
 
-// relayAnswer is what one relay says.
-type relayAnswer struct {
+// relayResult is the status that one relay returned, or why it did not.
+type relayResult struct {
 	Address     string `json:"address"`
 	Version     string `json:"version,omitempty"`
 	AgeMS       int64  `json:"age_ms"`
 	Subscribers int    `json:"subscribers"`
-	Error       string `json:"error,omitempty"` // why there is no answer; empty for one
+	Error       string `json:"error,omitempty"` // empty for a response
 
-	answer *configuration.StatusResponse
+	response *configuration.StatusResponse // nil for an error
 }
 
-// subscriberState is how a subscriber stands to a service.
+// subscriberState says whether a subscriber has a service's newest version.
 type subscriberState string
 
 const (
@@ -48,66 +48,70 @@
 	stateBehind   subscriberState = "behind"
 )
 
-// subscriberLine is one subscriber of a service.
-type subscriberLine struct {
-	Subscriber string          `json:"subscriber"`
-	State      subscriberState `json:"state"`
-	Version    string          `json:"version"`          // of the region, that it has taken
-	Reason     string          `json:"reason,omitempty"` // of a rejection
-	SilentMS   int64           `json:"silent_ms"`
+// subscriberResult is one subscriber of a service.
+type subscriberResult struct {
+	Subscriber  string          `json:"subscriber"`
+	State       subscriberState `json:"state"`
+	Version     string          `json:"version"`          // of the region, that it has received
+	Reason      string          `json:"reason,omitempty"` // of a rejection
+	SinceSeenMS int64           `json:"silent_ms"`
 }
 
-func (l *subscriberLine) silent() time.Duration { return time.Duration(l.SilentMS) * time.Millisecond }
+func (s *subscriberResult) sinceSeen() time.Duration {
+	return time.Duration(s.SinceSeenMS) * time.Millisecond
+}
+
+func (s *subscriberResult) timedOut() bool { return s.sinceSeen() > subscriberTimeout }
 
-// statusResult is how the subscribers of all relays stand to a service.
+// statusResult is the status of a service at the subscribers of all relays.
 type statusResult struct {
-	Service     string           `json:"service"`
-	Version     string           `json:"version"` // of the service's last change
-	InForce     int              `json:"in_force"`
-	Rejected    int              `json:"rejected"`
-	Behind      int              `json:"behind"`
-	Silent      int              `json:"silent"` // of the above, not heard of lately
-	Relays      []relayAnswer    `json:"relays"`
-	Subscribers []subscriberLine `json:"subscribers"`
+	Service     string             `json:"service"`
+	Version     string             `json:"version"` // of the service's last change
+	InForce     int                `json:"in_force"`
+	Rejected    int                `json:"rejected"`
+	Behind      int                `json:"behind"`
+	TimedOut    int                `json:"silent"` // of the three above
+	Relays      []relayResult      `json:"relays"`
+	Subscribers []subscriberResult `json:"subscribers"`
 }
 
-// configStatus tells where a service's settings are in force.
-func configStatus(o *configOptions) *cobra.Command {
+// configStatus shows where a service's settings are in force.
+func configStatus(options *configOptions) *cobra.Command {
 	var relays string
-	c := o.ofService("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, f *server.Config, service string) error {
-		addresses, err := relayAddresses(relays)
+	command := options.serviceVerb("status [flags] SERVICE", "show where the settings of a service are in force", func(ctx context.Context, config *server.Config, service string) error {
+		addresses, err := parseRelayAddresses(relays)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
-		result := statusOf(a.Resource, askRelays(ctx, f.Name, addresses, service))
-		if o.asJSON {
-			err = o.printJSON(result)
+		result := newStatusResult(response.Resource, fetchRelayResults(ctx, config.Name, addresses, service))
+		if options.asJSON {
+			err = options.printJSON(result)
 		} else {
-			err = printStatus(o.out, result)
+			err = printStatus(options.out, result)
 		}
 		if err != nil {
 			return err
 		}
 		for _, relay := range result.Relays {
 			if relay.Error != "" {
-				return errSaid
+				return errReported
 			}
 		}
 		return nil
 	})
-	c.Flags().StringVar(&relays, "relays", "", "addresses of the relays, parted by commas")
-	return c
+	command.Flags().StringVar(&relays, "relays", "", "addresses of the relays, separated by commas")
+	return command
 }
 
-// relayAddresses reads the flag -relays.
-func relayAddresses(list string) ([]string, error) {
+// parseRelayAddresses reads the flag -relays.
+func parseRelayAddresses(list string) ([]string, error) {
 	addresses := strings.Split(list, ",")
 	if list == "" || len(addresses) > maxRelays {
-		return nil, fmt.Errorf("%w: -relays: found %q, wanted 1 to %d addresses parted by commas", errUsage, list, maxRelays)
+		return nil, fmt.Errorf("%w: -relays: found %q, wanted 1 to %d addresses separated by commas", errUsage, list, maxRelays)
 	}
 	seen := map[string]bool{}
 	for _, address := range addresses {
@@ -122,30 +126,31 @@
 	return addresses, nil
 }
 
-// askRelays asks all relays of a region at a time.
-func askRelays(ctx context.Context, region string, addresses []string, service string) []relayAnswer {
-	all := make([]relayAnswer, len(addresses))
-	var asked sync.WaitGroup
+// fetchRelayResults fetches the status of all relays concurrently, in the order of
+// their addresses.
+func fetchRelayResults(ctx context.Context, region string, addresses []string, service string) []relayResult {
+	results := make([]relayResult, len(addresses))
+	var fetches sync.WaitGroup
 	for i, address := range addresses {
-		asked.Go(func() { all[i] = askRelay(ctx, region, address, service) })
+		fetches.Go(func() { results[i] = fetchRelayResult(ctx, region, address, service) })
 	}
-	asked.Wait()
-	return all
+	fetches.Wait()
+	return results
 }
 
-func askRelay(ctx context.Context, region, address, service string) relayAnswer {
-	status := relayAnswer{Address: address}
-	answer, err := fetchStatus(ctx, address, service)
-	if err == nil && answer.Region != region {
-		err = fmt.Errorf("found a relay of region %q, wanted %q", answer.Region, region)
+func fetchRelayResult(ctx context.Context, region, address, service string) relayResult {
+	result := relayResult{Address: address}
+	response, err := fetchStatus(ctx, address, service)
+	if err == nil && response.Region != region {
+		err = fmt.Errorf("found a relay of region %q, wanted %q", response.Region, region)
 	}
 	if err != nil {
-		status.Error = strings.ReplaceAll(err.Error(), "\n", " ")
-		return status
+		result.Error = strings.ReplaceAll(err.Error(), "\n", " ")
+		return result
 	}
-	status.answer = answer
-	status.Version, status.AgeMS, status.Subscribers = answer.Version.String(), answer.AgeMS, len(answer.Subscribers)
-	return status
+	result.response = response
+	result.Version, result.AgeMS, result.Subscribers = response.Version.String(), response.AgeMS, len(response.Subscribers)
+	return result
 }
 
 func fetchStatus(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
@@ -156,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Close = true // asked once
+	request.Close = true // the only request to the relay
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
@@ -167,95 +172,95 @@
 		return nil, err
 	}
 	if len(text) > configuration.MaxStatusResponseBytes {
-		return nil, fmt.Errorf("found an answer of more than %d bytes", configuration.MaxStatusResponseBytes)
+		return nil, fmt.Errorf("response: found more than %d bytes", configuration.MaxStatusResponseBytes)
 	}
-	answer := &configuration.StatusResponse{}
-	if err := json.Unmarshal(text, answer); response.StatusCode != http.StatusOK || err != nil {
-		return nil, fmt.Errorf("found status %d and %q, wanted an answer in JSON", response.StatusCode, text[:min(len(text), maxRefusalExcerpt)])
+	status := &configuration.StatusResponse{}
+	if err := json.Unmarshal(text, status); response.StatusCode != http.StatusOK || err != nil {
+		return nil, fmt.Errorf("response: found status %d and %q, wanted JSON", response.StatusCode, text[:min(len(text), maxErrorResponseBytes)])
 	}
-	return answer, nil
+	return status, nil
 }
 
-// statusOf counts how the subscribers stand to a service's newest version.
-func statusOf(resource *configuration.Resource, relays []relayAnswer) statusResult {
-	result := statusResult{Service: resource.Service, Version: resource.Version.String(), Relays: relays, Subscribers: []subscriberLine{}}
-	var said [][]configuration.SubscriberStatus
+// newStatusResult counts the subscribers of all relays by state.
+func newStatusResult(resource *configuration.Resource, relays []relayResult) statusResult {
+	result := statusResult{Service: resource.Service, Version: resource.Version.String(), Relays: relays, Subscribers: []subscriberResult{}}
+	var lists [][]configuration.SubscriberStatus
 	for _, relay := range relays {
-		if relay.answer != nil {
-			said = append(said, relay.answer.Subscribers)
+		if relay.response != nil {
+			lists = append(lists, relay.response.Subscribers)
 		}
 	}
-	for _, subscriber := range configuration.MergeStatus(said...) {
-		line := subscriberLine{Subscriber: subscriber.Subscriber, State: stateInForce, Version: subscriber.Version.String(), SilentMS: subscriber.SinceLastPollMS}
+	for _, status := range configuration.MergeStatus(lists...) {
+		subscriber := subscriberResult{Subscriber: status.Subscriber, State: stateInForce, Version: status.Version.String(), SinceSeenMS: status.SinceLastPollMS}
 		switch {
-		case subscriber.Version < resource.Version:
-			line.State = stateBehind
+		case status.Version < resource.Version:
+			subscriber.State = stateBehind
 			result.Behind++
-		case subscriber.RejectedVersion >= resource.Version:
-			line.State, line.Reason = stateRejected, subscriber.Reason
+		case status.RejectedVersion >= resource.Version:
+			subscriber.State, subscriber.Reason = stateRejected, status.Reason
 			result.Rejected++
 		default:
 			result.InForce++
 		}
-		if line.silent() > silentAfter {
-			result.Silent++
+		if subscriber.timedOut() {
+			result.TimedOut++
 		}
-		result.Subscribers = append(result.Subscribers, line)
+		result.Subscribers = append(result.Subscribers, subscriber)
 	}
 	return result
 }
 
-// printStatus prints a status for a person.
+// printStatus prints a status as text.
 func printStatus(out io.Writer, result statusResult) error {
-	var b strings.Builder
+	output := &printer{out: out}
 	for _, relay := range result.Relays {
 		if relay.Error != "" {
-			fmt.Fprintf(&b, "relay %s: no answer: %s\n", relay.Address, relay.Error)
+			output.printf("relay %s: no answer: %s\n", relay.Address, relay.Error)
 			continue
 		}
 		age := time.Duration(relay.AgeMS) * time.Millisecond
-		fmt.Fprintf(&b, "relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
+		output.printf("relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
 	}
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.State != stateRejected {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
+		if s.State != stateRejected {
 			return ""
 		}
-		return fmt.Sprintf("rejected by %s: %s", l.Subscriber, oneLine(l.Reason))
+		return fmt.Sprintf("rejected by %s: %s", s.Subscriber, singleLine(s.Reason))
 	})
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.State != stateBehind {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
+		if s.State != stateBehind {
 			return ""
 		}
-		return fmt.Sprintf("behind: %s at version %s", l.Subscriber, l.Version)
+		return fmt.Sprintf("behind: %s at version %s", s.Subscriber, s.Version)
 	})
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.silent() <= silentAfter {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
+		if !s.timedOut() {
 			return ""
 		}
-		return fmt.Sprintf("silent: %s for %v", l.Subscriber, l.silent().Round(time.Second))
+		return fmt.Sprintf("silent: %s for %v", s.Subscriber, s.sinceSeen().Round(time.Second))
 	})
-	fmt.Fprintf(&b, "%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
-		result.Service, result.Version, result.InForce, len(result.Subscribers), result.Rejected, result.Behind, result.Silent)
-	_, err := io.WriteString(out, b.String())
-	return err
+	output.printf("%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
+		result.Service, result.Version, result.InForce, len(result.Subscribers), result.Rejected, result.Behind, result.TimedOut)
+	return output.err
 }
 
-// printKind prints the lines of the subscribers that have one, the first of them.
-func printKind(b *strings.Builder, all []subscriberLine, word func(*subscriberLine) string) {
-	found := 0
-	for i := range all {
-		line := word(&all[i])
-		if line == "" {
+// printSubscribers prints the lines of the first maxListedSubscribers for which line
+// returns one.
+func printSubscribers(output *printer, subscribers []subscriberResult, line func(*subscriberResult) string) {
+	count := 0
+	for i := range subscribers {
+		text := line(&subscribers[i])
+		if text == "" {
 			continue
 		}
-		if found++; found <= maxNamedOfAKind {
-			b.WriteString(line + "\n")
+		if count++; count <= maxListedSubscribers {
+			output.println(text)
 		}
 	}
-	if found > maxNamedOfAKind {
-		fmt.Fprintf(b, "... and %d more (-json has all)\n", found-maxNamedOfAKind)
+	if count > maxListedSubscribers {
+		output.printf("... and %d more (-json has all)\n", count-maxListedSubscribers)
 	}
 }
 
-// oneLine keeps what others wrote from breaking a line.
-func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+// singleLine replaces line breaks in a text of another process.
+func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -24,8 +25,8 @@
 	"otterspring/internal/inject"
 )
 
-// patience detects a hang; nothing is measured by it.
-const patience = 60 * time.Second
+// testTimeout detects a hang.
+const testTimeout = 60 * time.Second
 
 // programFolder is where faultyProgram builds; TestMain removes it.
 var programFolder string
@@ -35,8 +36,9 @@
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	code := m.Run()
-	if programFolder != "" {
-		os.RemoveAll(programFolder)
+	if err := os.RemoveAll(programFolder); err != nil { // nothing where it is empty
+		fmt.Fprintln(os.Stderr, err)
+		code = 1
 	}
 	os.Exit(code)
 }
@@ -51,19 +53,19 @@
 	command := exec.Command("go", "build", "-race", "-tags", "faults", "-o", folder+"/", "./cmd/otterspring")
 	command.Dir = "../.."
 	if text, err := command.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%v: %s", err, text)
+		return "", fmt.Errorf("%w: %s", err, text)
 	}
 	return filepath.Join(folder, "otterspring"), nil
 })
 
 var testIPs atomic.Int32
 
-// region is a council of three processes.
+// region is a cluster of three processes.
 type region struct {
 	t       *testing.T
 	folder  string
 	ip      string
-	path    string // of the council's file
+	path    string // of the cluster's file
 	file    *server.Config
 	members map[int]*exec.Cmd
 	taken   map[string]bool // addresses that freeAddress has returned
@@ -86,11 +88,11 @@
 	for i := 1; i <= 3; i++ {
 		r.members[i] = r.start(fmt.Sprintf("member-%d", i), "council", "run", "-member", fmt.Sprint(i), "-new", r.path)
 	}
-	r.awaitAble()
+	r.awaitSupport()
 	return r
 }
 
-// freeAddress is one that nobody listens on, another each time.
+// freeAddress returns an address without a listener, another one each time.
 func (r *region) freeAddress() string {
 	r.t.Helper()
 	for {
@@ -109,7 +111,7 @@
 	}
 }
 
-// start runs otterspring as a process, whose faults are kept under its role.
+// start runs otterspring as a process, whose injected faults are in a file of its role.
 func (r *region) start(role string, args ...string) *exec.Cmd {
 	r.t.Helper()
 	program, err := faultyProgram()
@@ -120,17 +122,15 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	defer log.Close()
 	c := exec.Command(program, args...)
 	c.Env = append(os.Environ(), inject.Env+"="+r.folder, inject.Role+"="+role)
 	c.Stdout, c.Stderr = log, log
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
-	if err := c.Start(); err != nil {
+	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends with the test program
+	if err := errors.Join(c.Start(), log.Close()); err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() {
-		c.Process.Kill()
-		c.Wait()
+		kill(r.t, c)
 		if text, _ := os.ReadFile(log.Name()); r.t.Failed() {
 			r.t.Logf("%s: %s", role, text)
 		}
@@ -138,30 +138,44 @@
 	return c
 }
 
-// ask asks the council until it answers.
-func (r *region) ask(q client.Request) *client.Response {
+// kill ends a process, which may have ended with a failure before.
+func kill(tb testing.TB, c *exec.Cmd) {
+	tb.Helper()
+	if c.ProcessState != nil {
+		return // waited for by the test
+	}
+	if err := c.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		tb.Error(err)
+	}
+	if err := c.Wait(); err == nil {
+		tb.Errorf("%v ended without a failure before it was killed", c.Args)
+	}
+}
+
+// do sends a request to the cluster until it answers.
+func (r *region) do(q client.Request) *client.Response {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a, err := askConfiguration(ctx, r.file, q)
+	a, err := requestConfiguration(ctx, r.file, q)
 	if err != nil {
 		r.t.Fatalf("%+v: %v", q, err)
 	}
 	return a
 }
 
-// awaitAble awaits that all members can apply changes.
-func (r *region) awaitAble() {
+// awaitSupport waits until all members support configuration changes.
+func (r *region) awaitSupport() {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r.ask(client.Request{Kind: client.ReadState}).State.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if r.do(client.Request{Kind: client.ReadState}).State.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
 			return
 		}
 	}
-	r.t.Fatal("members can't apply changes")
+	r.t.Fatal("members do not support configuration changes")
 }
 
-// config runs a verb of `otterspring config` and returns its exit code and what it said.
+// config runs a verb of `otterspring config` and returns its exit code and output.
 func (r *region) config(args ...string) (code int, out, errw string) {
 	var stdout, stderr bytes.Buffer
 	code = run(append([]string{"config", "-council", r.path}, args...), &stdout, &stderr)
@@ -186,8 +200,8 @@
 	return path
 }
 
-// A service is created, read as a file, changed by that, listed and completed; each
-// refusal is one line with its exit code, and no entry comes of it.
+// A service is created, read as a file, changed with it, listed and completed; each
+// rejection is one line with its exit code, and without a log entry.
 func TestConfigVerbs(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
@@ -218,7 +232,7 @@
 	large := filepath.Join(r.folder, "large.toml")
 	r.write(large, "service = \"mail\"\n"+largeTenants())
 
-	before := r.ask(client.Request{Kind: client.ReadState})
+	before := r.do(client.Request{Kind: client.ReadState})
 	for _, test := range []struct {
 		args []string
 		code int
@@ -248,8 +262,8 @@
 			t.Errorf("%v: exit code %d, wanted %d with %q in one line: %s%s", test.args, code, test.code, test.want, out, errw)
 		}
 	}
-	if after := r.ask(client.Request{Kind: client.ReadState}); after.Term == before.Term && after.Index != before.Index {
-		t.Errorf("%d entries after %d: something was agreed on", after.Index, before.Index)
+	if after := r.do(client.Request{Kind: client.ReadState}); after.Term == before.Term && after.Index != before.Index {
+		t.Errorf("%d entries after %d: something was committed", after.Index, before.Index)
 	}
 
 	if code, out, _ := r.config("list"); code != exitDone || !strings.Contains(out, "mail") || !strings.Contains(out, "1.2") || !strings.Contains(out, "2 services") {
@@ -277,7 +291,7 @@
 }
 
 // largeTenants are within the bounds of their number and names, and beyond that of
-// their bytes.
+// their total size.
 func largeTenants() string {
 	var b strings.Builder
 	for i := range configuration.MaxTenants {
@@ -286,43 +300,44 @@
 	return b.String()
 }
 
-// The leader is killed when it has stored a change, or has decided on the answer to
-// it, and told nobody: put goes on by itself, and the change is applied once.
+// The leader is killed when it has stored a change, or before it responds: put retries,
+// and the change is applied once.
 func TestConfigPutSurvivesTheLeader(t *testing.T) {
 	for _, point := range []string{"council-stored", "council-answers"} {
 		t.Run(point, func(t *testing.T) {
 			t.Parallel()
 			r := newRegion(t)
 			first := r.put("-if-version", "0", r.settingsFile("mail.toml", "mail", "acme"))
-			leader := r.ask(client.Request{Kind: client.ReadState}).Member
+			leader := r.do(client.Request{Kind: client.ReadState}).Member
 			role := filepath.Join(r.folder, fmt.Sprintf("member-%d", leader))
 			r.write(role, "at "+point+" kill once\n")
 
 			changed := r.settingsFile("changed.toml", "mail", "other")
-			second := r.put("-if-version", first, "-id", "again", "-timeout", patience.String(), changed)
+			second := r.put("-if-version", first, "-id", "again", "-timeout", testTimeout.String(), changed)
 			if second != "1.2" {
 				t.Errorf("version %s after %s, wanted 1.2", second, first)
 			}
-			r.members[int(leader)].Wait()
+			if err := r.members[int(leader)].Wait(); err == nil {
+				t.Errorf("the leader ended without a failure at %s", point)
+			}
 			if _, err := os.Stat(role + ".once"); err != nil {
 				t.Errorf("the leader was not killed at %s: %v", point, err)
 			}
 			if again := r.put("-if-version", first, "-id", "again", changed); again != second {
 				t.Errorf("the same change by hand: version %s, wanted %s", again, second)
 			}
-			if a := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}); a.Resource.Version.String() != second || !strings.Contains(string(a.Resource.Settings), "other") {
+			if a := r.do(client.Request{Kind: client.ReadConfiguration, Service: "mail"}); a.Resource.Version.String() != second || !strings.Contains(string(a.Resource.Settings), "other") {
 				t.Errorf("%+v, wanted version %s", a.Resource, second)
 			}
-			if a := r.ask(client.Request{Kind: client.WatchConfiguration}); a.Update.Version.String() != second {
+			if a := r.do(client.Request{Kind: client.WatchConfiguration}); a.Update.Version.String() != second {
 				t.Errorf("newest version %v, wanted %s: it was applied twice", a.Update.Version, second)
 			}
 		})
 	}
 }
 
-// A member that can't tell whether a change took effect is asked again with the same
-// id, until one can.
-func TestConfigPutRepeatsWhatIsUnknown(t *testing.T) {
+// A change with an unknown outcome is retried with the same id.
+func TestConfigPutRetriesUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var ids []string
@@ -339,13 +354,15 @@
 		if len(ids) == 3 {
 			answer = client.Response{Cluster: "west#1", Resource: &configuration.Resource{Service: "mail", Version: configuration.NewVersion(1, 5)}}
 		}
-		json.NewEncoder(w).Encode(answer)
+		if err := json.NewEncoder(w).Encode(answer); err != nil {
+			t.Error(err)
+		}
 	}))
 	defer server.Close()
 	folder := t.TempDir()
 	r := &region{t: t, folder: folder, path: filepath.Join(folder, "council.toml")}
 	r.write(r.path, fmt.Sprintf("name = \"west\"\ndirectory = \"state\"\n[[member]]\nnumber = 1\naddress = %q\n", server.Listener.Addr()))
-	if version := r.put("-timeout", patience.String(), r.settingsFile("mail.toml", "mail", "acme")); version != "1.5" {
+	if version := r.put("-timeout", testTimeout.String(), r.settingsFile("mail.toml", "mail", "acme")); version != "1.5" {
 		t.Errorf("version %s, wanted 1.5", version)
 	}
 	if len(ids) != 3 || ids[0] == "" || ids[1] != ids[0] || ids[2] != ids[0] {
@@ -353,14 +370,13 @@
 	}
 }
 
-// Without a majority put says that it does not know, and how to find out.
+// Without a majority the outcome of put is unknown, and the error says how to find out.
 func TestConfigPutWithoutMajority(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
 	mail := r.settingsFile("mail.toml", "mail", "acme")
 	for i := 1; i <= 2; i++ {
-		r.members[i].Process.Kill()
-		r.members[i].Wait()
+		kill(t, r.members[i])
 	}
 	code, out, errw := r.config("put", "-if-version", "0", "-id", "mine", "-timeout", "1s", mail)
 	if code != exitFailed || out != "" || strings.Count(errw, "\n") != 1 || !strings.Contains(errw, "not known whether it was changed") || !strings.Contains(errw, "-id mine") {
@@ -368,22 +384,22 @@
 	}
 }
 
-// Two operators change the same version: one wins, the other is told of the conflict
-// by its exit code, and what the winner wrote stands.
+// Of two concurrent changes of one version one is applied, and the other one has the
+// exit code of a conflict.
 func TestConfigPutOfTwoOperators(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
 	version := r.put("-if-version", "0", r.settingsFile("mail.toml", "mail", "nobody"))
 	for round := range 5 {
 		var codes [2]int
-		var said [2]string
+		var messages [2]string
 		var operators sync.WaitGroup
 		for i := range codes {
 			path := r.settingsFile(fmt.Sprintf("operator-%d.toml", i), "mail", fmt.Sprintf("operator-%d", i))
 			operators.Go(func() {
 				var errw string
 				codes[i], _, errw = r.config("put", "-if-version", version, path)
-				said[i] = errw
+				messages[i] = errw
 			})
 		}
 		operators.Wait()
@@ -392,21 +408,21 @@
 			winner = 1
 		}
 		if codes[winner] != exitDone || codes[1-winner] != exitConflict {
-			t.Fatalf("round %d: exit codes %v, wanted %d and %d: %q", round, codes, exitDone, exitConflict, said)
+			t.Fatalf("round %d: exit codes %v, wanted %d and %d: %q", round, codes, exitDone, exitConflict, messages)
 		}
 		_, text, _ := r.config("get", "mail")
 		if !strings.Contains(text, fmt.Sprintf("operator-%d", winner)) {
 			t.Fatalf("round %d: %s, wanted what operator %d wrote", round, text, winner)
 		}
-		held := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource.Version
-		if want, _ := configuration.ParseVersion(version); held != want+1 {
-			t.Fatalf("round %d: version %v, wanted one on from %s", round, held, version)
+		current := r.do(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource.Version
+		if want, _ := configuration.ParseVersion(version); current != want+1 {
+			t.Fatalf("round %d: version %v, wanted one on from %s", round, current, version)
 		}
-		version = held.String()
+		version = current.String()
 	}
 }
 
-// The status of a service joins what relays say, and names the one that is silent.
+// The status of a service merges the responses of relays, and names one that fails.
 func TestConfigStatus(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
@@ -449,7 +465,7 @@
 	}
 }
 
-// startRelay runs a relay of the region and awaits that it has heard the newest.
+// startRelay runs a relay of the region and waits until it has the newest version.
 func (r *region) startRelay(name string) (address string) {
 	r.t.Helper()
 	address = r.freeAddress()
@@ -457,20 +473,20 @@
 	r.write(path, fmt.Sprintf("region = \"west\"\nzone = \"a\"\nname = %q\nlisten = %q\nmembers = [%q, %q, %q]\n",
 		name, address, r.file.Members[0].Address, r.file.Members[1].Address, r.file.Members[2].Address))
 	r.start(name, "relay", "run", path)
-	newest := r.ask(client.Request{Kind: client.WatchConfiguration}).Update.Version
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		status := askRelay(ctx, "west", address, "mail")
+	newest := r.do(client.Request{Kind: client.WatchConfiguration}).Update.Version
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		status := fetchRelayResult(ctx, "west", address, "mail")
 		cancel()
-		if status.Error == "" && status.answer.Version >= newest {
+		if status.Error == "" && status.response.Version >= newest {
 			return address
 		}
 	}
-	r.t.Fatalf("relay %s does not hear of version %v", name, newest)
+	r.t.Fatalf("relay %s does not get version %v", name, newest)
 	return ""
 }
 
-// poll is one of a subscriber.
+// poll sends a poll of a subscriber.
 func (r *region) poll(relay string, p *configuration.Poll) {
 	r.t.Helper()
 	p.Region = "west"
@@ -489,9 +505,9 @@
 	}
 }
 
-// Of a subscriber that two relays know the latest word counts; one that was not
-// heard of for long is named with the time; names are cut to a bound.
-func TestStatusOf(t *testing.T) {
+// Of a subscriber that two relays know the latest status counts; one without a recent
+// poll is listed with the time; the lists are bounded.
+func TestStatusResult(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
 	subscriber := func(name string, version configuration.Version, silent time.Duration) configuration.SubscriberStatus {
 		return configuration.SubscriberStatus{Subscriber: name, Version: version, SinceLastPollMS: silent.Milliseconds()}
@@ -506,11 +522,11 @@
 	far := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
 		subscriber("moved", version-1, 3*time.Second), rejects, rejectedBefore,
 	}}
-	for i := range maxNamedOfAKind + 4 {
+	for i := range maxListedSubscribers + 4 {
 		far.Subscribers = append(far.Subscribers, subscriber(fmt.Sprintf("z%02d", i), version-1, 0))
 	}
 	resource := &configuration.Resource{Service: "mail", Version: version}
-	result := statusOf(resource, []relayAnswer{{Address: "near", answer: near}, {Address: "far", answer: far}, {Address: "dead", Error: "refused"}})
+	result := newStatusResult(resource, []relayResult{{Address: "near", response: near}, {Address: "far", response: far}, {Address: "dead", Error: "refused"}})
 	var b strings.Builder
 	if err := printStatus(&b, result); err != nil {
 		t.Fatal(err)
--- a/cmd/otterspring/council.go
+++ b/cmd/otterspring/council.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"maps"
 	"net/http"
 	"os"
 	"os/signal"
@@ -23,223 +24,237 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// councilCommand is `otterspring council` with its verbs.
+// Bounds of a call of the council command.
+const (
+	clusterTimeout      = 5 * time.Second // of a request to the cluster
+	memberStatusTimeout = 2 * time.Second // of the status of one member
+)
+
+// errNoMajority is the failure of `council status` without a majority.
+var errNoMajority = errors.New("no majority: no lease can be acquired; hosts continue to supervise their instances")
+
+// councilCommand is `otterspring council` with its verbs. The operators' pages call the
+// cluster a council, a lease a duty and an operation an order.
 func councilCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("council", "agree on one owner for work on behalf of the fleet",
-		"council runs one of 3 or 5 members that agree on who does what for all hosts\n"+
-			"(docs/operate/council.md), and asks them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
-		councilRun(log), councilCheck(out), councilStatus(out), councilDuties(out), councilStepDown(out), councilMembers(out),
+	return cli.Root("council", "run and query the members that grant leases for the whole fleet",
+		"council runs one of 3 or 5 members that agree on one holder for each lease of the fleet\n"+
+			"(docs/operate/council.md), and sends requests to them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
+		councilRun(log), councilCheck(out), councilStatus(out), councilLeases(out), councilStepDown(out), councilMembers(out),
 		councilForget(out), councilSnapshot(out), councilRestore(out))
 }
 
-// ofCouncil is a verb that takes a council's file and a fixed number of words.
-func ofCouncil(use, short string, words int, do func(f *server.Config, words []string) error) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		if len(args) != 1+words {
-			return fmt.Errorf("%w: council %s: found %d words, wanted: %s", errUsage, c.Name(), len(args), use)
+// clusterVerb returns a verb that takes a cluster's file and a fixed number of further
+// arguments.
+func clusterVerb(use, short string, argCount int, run func(ctx context.Context, config *server.Config, args []string) error) *cobra.Command {
+	command := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
+	command.RunE = func(_ *cobra.Command, args []string) error {
+		if len(args) != 1+argCount {
+			return fmt.Errorf("%w: council %s: found %d words, wanted: %s", errUsage, command.Name(), len(args), use)
 		}
-		f, err := server.LoadConfig(args[0])
+		config, err := server.LoadConfig(args[0])
 		if err != nil {
 			return err
 		}
-		return do(f, args[1:])
+		return run(command.Context(), config, args[1:])
 	}
-	return c
+	return command
 }
 
 func councilRun(log func() *slog.Logger) *cobra.Command {
 	var number uint64
-	var begins, joins bool
-	c := ofCouncil("run [flags] FILE", "be a member until a signal", 0, func(f *server.Config, _ []string) error {
-		begin := server.Resume
+	var bootstrap, join bool
+	command := clusterVerb("run [flags] FILE", "run a member until a signal", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		mode := server.Resume
 		switch {
-		case begins && joins:
+		case bootstrap && join:
 			return fmt.Errorf("%w: council run: found -new and -join, wanted one of them", errUsage)
-		case begins:
-			begin = server.Bootstrap
-		case joins:
-			begin = server.Join
+		case bootstrap:
+			mode = server.Bootstrap
+		case join:
+			mode = server.Join
 		}
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		n, err := server.Open(ctx, f, number, begin, log())
+		member, err := server.Open(ctx, config, number, mode, log())
 		if err != nil {
 			return err
 		}
-		return n.Run(ctx)
+		return member.Run(ctx)
 	})
-	c.Flags().Uint64Var(&number, "member", 0, "which member of the file this is")
-	c.Flags().BoolVar(&begins, "new", false, "begin a council: said once to each of its first members")
-	c.Flags().BoolVar(&joins, "join", false, "begin as a member that was added (members add)")
-	return c
+	command.Flags().Uint64Var(&number, "member", 0, "number of the member in the file")
+	command.Flags().BoolVar(&bootstrap, "new", false, "start a new council: once, on each of its first members")
+	command.Flags().BoolVar(&join, "join", false, "start as a member that was added (members add)")
+	return command
 }
 
 func councilCheck(out io.Writer) *cobra.Command {
-	return ofCouncil("check FILE", "say what is wrong with a file, start nothing", 0, func(f *server.Config, _ []string) error {
-		fmt.Fprintf(out, "%s: good; %s, lease %v, margin %v\n", f.Path, plural(len(f.Members), "member", "members"), f.Lease, f.Margin)
-		return nil
+	return clusterVerb("check FILE", "check a file without starting anything", 0, func(_ context.Context, config *server.Config, _ []string) error {
+		return printf(out, "%s: good; %s, lease %v, margin %v\n", config.Path, plural(len(config.Members), "member", "members"), config.Lease, config.Margin)
 	})
 }
 
-// councilStatus asks each member by itself.
+// councilStatus sends a request to each member.
 func councilStatus(out io.Writer) *cobra.Command {
-	return ofCouncil("status FILE", "what each member says", 0, func(f *server.Config, _ []string) error {
+	return clusterVerb("status FILE", "show the status of each member", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		output := &printer{out: out}
 		up := 0
-		for _, m := range f.Members {
-			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			a, err := client.Call(ctx, http.DefaultClient, m.Address, f.Name, client.Request{Kind: client.WatchLeases})
-			cancel()
-			switch {
-			case err != nil:
-				fmt.Fprintf(out, "member %d %-21s no answer: %v\n", m.Number, m.Address, err)
-				continue
-			case a.Unavailable != "":
-				fmt.Fprintf(out, "member %d %-21s %s\n", m.Number, m.Address, a.Unavailable)
-				continue
+		for _, m := range config.Members {
+			if printMemberStatus(ctx, output, config.Name, m) {
+				up++
 			}
-			up++
-			role := "follows"
-			if a.IsLeader {
-				role = "leads"
-			}
-			fmt.Fprintf(out, "member %d %-21s %s term %d entry %d voters %v learners %v syncs %d strange %d version %d of %s\n",
-				m.Number, m.Address, role, a.Term, a.Index, a.Voters, a.Learners, a.Syncs, a.WrongClusterCalls, a.Version, a.Cluster)
 		}
-		fmt.Fprintf(out, "%d members, %d up\n", len(f.Members), up)
-		if up <= len(f.Members)/2 {
-			return errors.New("no majority: nothing is owned by anybody new; hosts go on by themselves")
+		output.printf("%d members, %d up\n", len(config.Members), up)
+		if output.err == nil && up <= len(config.Members)/2 {
+			return errNoMajority
 		}
-		return nil
+		return output.err
 	})
 }
 
-const askFor = 5 * time.Second
+// printMemberStatus prints one line and reports whether the member takes part.
+func printMemberStatus(ctx context.Context, output *printer, cluster string, m server.MemberAddress) bool {
+	ctx, cancel := context.WithTimeout(ctx, memberStatusTimeout)
+	defer cancel()
+	status, err := client.Call(ctx, http.DefaultClient, m.Address, cluster, client.Request{Kind: client.WatchLeases})
+	switch {
+	case err != nil:
+		output.printf("member %d %-21s no answer: %v\n", m.Number, m.Address, err)
+		return false
+	case status.Unavailable != "":
+		output.printf("member %d %-21s %s\n", m.Number, m.Address, status.Unavailable)
+		return false
+	}
+	role := "follows"
+	if status.IsLeader {
+		role = "leads"
+	}
+	output.printf("member %d %-21s %s term %d entry %d voters %v learners %v syncs %d strange %d version %d of %s\n",
+		m.Number, m.Address, role, status.Term, status.Index, status.Voters, status.Learners, status.Syncs, status.WrongClusterCalls, status.Version, status.Cluster)
+	return true
+}
 
-func askCouncil(f *server.Config, q client.Request) (*client.Response, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askFor)
+// sendToCluster sends a request within clusterTimeout. A rejection is an error.
+func sendToCluster(ctx context.Context, config *server.Config, request client.Request) (*client.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, clusterTimeout)
 	defer cancel()
-	c := client.NewClient(f.Name, f.Addresses())
-	defer c.Close()
-	a, err := c.Do(ctx, q)
-	if err == nil && a.Rejection != "" {
-		err = errors.New(a.Rejection)
+	cluster := client.NewClient(config.Name, config.Addresses())
+	defer cluster.Close()
+	response, err := cluster.Do(ctx, request)
+	if err == nil && response.Rejection != "" {
+		err = errors.New(response.Rejection)
 	}
-	return a, err
+	return response, err
 }
 
-func councilDuties(out io.Writer) *cobra.Command {
-	return ofCouncil("duties FILE", "who owns what, as a majority knows it", 0, func(f *server.Config, _ []string) error {
-		a, err := askCouncil(f, client.Request{Kind: client.ReadState})
+func councilLeases(out io.Writer) *cobra.Command {
+	return clusterVerb("duties FILE", "show the holder of each lease, confirmed by a majority", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		response, err := sendToCluster(ctx, config, client.Request{Kind: client.ReadState})
 		if err != nil {
 			return err
 		}
-		var names []string
-		for name := range a.State.Leases {
-			names = append(names, name)
-		}
-		slices.Sort(names)
-		for _, name := range names {
-			d := a.State.Leases[name]
-			owner := d.Holder
-			if owner == "" {
-				owner = "nobody"
-			}
-			fmt.Fprintf(out, "%-12s %-24s epoch %v since %d note %s\n", d.Name, owner, d.Token, d.AcquiredAt, d.Checkpoint)
+		return printLeases(out, response.State)
+	})
+}
+
+func printLeases(out io.Writer, state *coordination.State) error {
+	output := &printer{out: out}
+	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
+		lease := state.Leases[name]
+		holder := lease.Holder
+		if holder == "" {
+			holder = "nobody"
 		}
-		for _, o := range a.State.Operations {
-			end := o.Outcome
-			if end == "" {
-				end = "under way"
-			}
-			fmt.Fprintf(out, "order %s of %s since %d: %s: %s\n", o.ID, o.Lease, o.RequestedAt, o.Request, end)
+		output.printf("%-12s %-24s epoch %v since %d note %s\n", lease.Name, holder, lease.Token, lease.AcquiredAt, lease.Checkpoint)
+	}
+	for _, operation := range state.Operations {
+		outcome := operation.Outcome
+		if outcome == "" {
+			outcome = "under way"
 		}
-		fmt.Fprintf(out, "%s, %s, count %d\n", plural(len(names), "duty", "duties"), plural(len(a.State.HostStatus), "host", "hosts"), a.State.LogicalClock)
-		return nil
-	})
+		output.printf("order %s of %s since %d: %s: %s\n", operation.ID, operation.Lease, operation.RequestedAt, operation.Request, outcome)
+	}
+	output.printf("%s, %s, count %d\n", plural(len(state.Leases), "duty", "duties"), plural(len(state.HostStatus), "host", "hosts"), state.LogicalClock)
+	return output.err
 }
 
 func councilStepDown(out io.Writer) *cobra.Command {
-	var duty string
-	c := ofCouncil("step-down [flags] FILE", "let another member lead, or the lease of a duty's owner run out", 0, func(f *server.Config, _ []string) error {
-		_, err := askCouncil(f, client.Request{Kind: client.StepDown, Lease: duty})
-		if err == nil {
-			fmt.Fprintln(out, "asked for")
+	var lease string
+	command := clusterVerb("step-down [flags] FILE", "transfer the council's leadership, or let the lease of a duty expire", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		if _, err := sendToCluster(ctx, config, client.Request{Kind: client.StepDown, Lease: lease}); err != nil {
+			return err
 		}
-		return err
+		return printf(out, "asked for\n")
 	})
-	c.Flags().StringVar(&duty, "duty", "", "the duty; empty for the leader of the council")
-	return c
+	command.Flags().StringVar(&lease, "duty", "", "name of the duty; empty for the leadership of the council")
+	return command
 }
 
 func councilMembers(out io.Writer) *cobra.Command {
-	change := func(kind client.RequestKind, use, short string, words int) *cobra.Command {
-		return ofCouncil(use, short, words, func(f *server.Config, args []string) error {
+	change := func(kind client.RequestKind, use, short string, argCount int) *cobra.Command {
+		return clusterVerb(use, short, argCount, func(ctx context.Context, config *server.Config, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 32)
 			if err != nil || number == 0 {
 				return fmt.Errorf("%w: council members %s: found %q, wanted a member's number", errUsage, kind, args[0])
 			}
-			q := client.Request{Kind: kind, Member: number}
-			if words > 1 {
-				q.Address = args[1]
+			request := client.Request{Kind: kind, Member: number}
+			if argCount > 1 {
+				request.Address = args[1]
 			}
-			if _, err := askCouncil(f, q); err != nil {
+			if _, err := sendToCluster(ctx, config, request); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "member %d: %s done\n", number, kind)
-			return nil
+			return printf(out, "member %d: %s done\n", number, kind)
 		})
 	}
-	return cli.Root("members", "change the members, one at a time", "members add NUMBER ADDRESS lets a new member hear (run it with -join, from a file that names it); it counts\n"+
-		"as soon as it is near. members remove NUMBER ends one; its number is not given again.",
+	return cli.Root("members", "change the members, one at a time", "members add NUMBER ADDRESS adds a member as a learner (run it with -join, from a file that names it); it becomes\n"+
+		"a voter when it has caught up. members remove NUMBER removes one; its number is not used again.",
 		change(client.AddMember, "add FILE NUMBER ADDRESS", "add a member", 2), change(client.RemoveMember, "remove FILE NUMBER", "remove a member", 1))
 }
 
-// councilForget takes a host out that will not come back: a roll waits for all.
+// councilForget removes a host that will not return: a rolling restart waits for all.
 func councilForget(out io.Writer) *cobra.Command {
-	return ofCouncil("forget FILE HOST", "a host has gone for good: nothing waits for it", 1, func(f *server.Config, args []string) error {
-		_, err := askCouncil(f, client.Request{Kind: client.SetHostStatus, Subject: args[0]})
-		if err == nil {
-			fmt.Fprintf(out, "%s: forgotten\n", args[0])
+	return clusterVerb("forget FILE HOST", "remove a host that does not return: nothing waits for it", 1, func(ctx context.Context, config *server.Config, args []string) error {
+		if _, err := sendToCluster(ctx, config, client.Request{Kind: client.SetHostStatus, Subject: args[0]}); err != nil {
+			return err
 		}
-		return err
+		return printf(out, "%s: forgotten\n", args[0])
 	})
 }
 
 func councilSnapshot(out io.Writer) *cobra.Command {
-	return ofCouncil("snapshot FILE OUT", "keep what is agreed on in a file", 1, func(f *server.Config, args []string) error {
-		data, err := server.FetchSnapshot(context.Background(), f)
+	return clusterVerb("snapshot FILE OUT", "write the agreed state to a file", 1, func(ctx context.Context, config *server.Config, args []string) error {
+		data, err := server.FetchSnapshot(ctx, config)
 		if err != nil {
 			return err
 		}
-		s, err := coordination.DecodeSnapshot(data)
-		if err == nil {
-			err = disk.Replace(args[0], data, true)
+		state, err := coordination.DecodeSnapshot(data)
+		if err != nil {
+			return err
 		}
-		if err == nil {
-			fmt.Fprintf(out, "%s: %d bytes, space %d, %s\n", args[0], len(data), s.TokenSpace, plural(len(s.Leases), "duty", "duties"))
+		if err := disk.Replace(args[0], data, true); err != nil {
+			return err
 		}
-		return err
+		return printf(out, "%s: %d bytes, space %d, %s\n", args[0], len(data), state.TokenSpace, plural(len(state.Leases), "duty", "duties"))
 	})
 }
 
 func councilRestore(out io.Writer) *cobra.Command {
 	var number uint64
 	var space uint32
-	var older bool
-	c := ofCouncil("restore [flags] FILE SNAPSHOT", "begin anew from a snapshot, by hand, where the majority is lost for good", 1, func(f *server.Config, args []string) error {
-		data, err := disk.Read(args[0])
+	var allowOlder bool
+	command := clusterVerb("restore [flags] FILE SNAPSHOT", "restore a council that has lost its majority from a snapshot", 1, func(_ context.Context, config *server.Config, args []string) error {
+		snapshot, err := disk.Read(args[0])
 		if err != nil {
 			return err
 		}
-		of, err := server.Restore(f, number, data, space, older)
-		if err == nil {
-			fmt.Fprintf(out, "member %d: council %s begins in space %d; start it with run, then add the others (members add)\n", number, of, space)
+		cluster, err := server.Restore(config, number, snapshot, space, allowOlder)
+		if err != nil {
+			return err
 		}
-		return err
+		return printf(out, "member %d: council %s begins in space %d; start it with run, then add the others (members add)\n", number, cluster, space)
 	})
-	c.Flags().Uint64Var(&number, "member", 0, "which member of the file begins")
-	c.Flags().Uint32Var(&space, "space", 0, "the new epoch space: more than any before; what was given out before is refused by all who hear of it")
-	c.Flags().BoolVar(&older, "older", false, "the snapshot may be older than the state in the directory, which is put aside")
-	return c
+	command.Flags().Uint64Var(&number, "member", 0, "number of the member in the file that is restored")
+	command.Flags().Uint32Var(&space, "space", 0, "the new token space, greater than any before: receivers reject what was issued in them")
+	command.Flags().BoolVar(&allowOlder, "older", false, "accept a snapshot older than the state in the directory, which is renamed")
+	return command
 }
--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"os"
 	"os/signal"
 	"strings"
@@ -17,30 +15,40 @@
 	"github.com/spf13/cobra"
 
 	"otterspring/internal/cli"
-	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/fleet/supervisor"
 )
 
+// progressInterval is the time between two looks at the progress of a rolling restart.
+const progressInterval = 200 * time.Millisecond
+
+var (
+	errRollPaused = errors.New("the roll has paused")
+	errRollFailed = errors.New("not all went well")
+)
+
 // fleetCommand is `otterspring fleet` with its verbs.
 func fleetCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	fleetOf := cli.Root("fleet", "run many sidecars on a host, restart and reload them",
+	return cli.Root("fleet", "run many sidecars on a host, restart and reload them",
 		"fleet supervises the instances that a file describes (docs/operate/fleet.md). run does so\n"+
-			"until SIGTERM or SIGINT, and then stops them; the other verbs ask the supervisor that\n"+
-			"runs, over its control socket. If it is killed the instances live on; the next one\n"+
+			"until SIGTERM or SIGINT, and then stops them; the other verbs send a request to the running\n"+
+			"supervisor, over its control socket. If it is killed the instances continue; the next one\n"+
 			"adopts them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
-		verb("run", "supervise until a signal, then stop all", func(f *supervisor.File, _ string) error { return fleetRun(f, log()) }),
-		verb("check", "say what is wrong with a file, start nothing", func(f *supervisor.File, path string) error { return fleetCheck(f, path, out) }),
-		asks("status", "what each instance does", out), asks("resume", "go on with a roll that has paused", out),
-		asks("cancel", "end a roll", out), asks("stop", "stop all instances and the supervisor", out),
-		rolls("restart", "restart all instances, or those named, at most restart.at_once at a time", out),
-		rolls("reload", "reload all instances, or those named", out))
-	return fleetOf
+		fleetVerb("run", "supervise until a signal, then stop all", func(file *supervisor.File, _ string) error {
+			return fleetRun(file, log())
+		}),
+		fleetVerb("check", "check a file without starting anything", func(file *supervisor.File, path string) error {
+			return fleetCheck(file, path, out)
+		}),
+		controlVerb("status", "show the status of all instances", out), controlVerb("resume", "resume a paused roll", out),
+		controlVerb("cancel", "cancel a roll", out), controlVerb("stop", "stop all instances and the supervisor", out),
+		rollVerb("restart", "restart all instances, or those named, at most restart.at_once at a time", out),
+		rollVerb("reload", "reload all instances, or those named", out))
 }
 
-// verb is a verb that takes a file and nothing behind it.
-func verb(name, does string, do func(f *supervisor.File, path string) error) *cobra.Command {
-	return &cobra.Command{Use: name + " FILE", Short: does, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
+// fleetVerb returns a verb that takes a file and no further argument.
+func fleetVerb(name, short string, run func(file *supervisor.File, path string) error) *cobra.Command {
+	return &cobra.Command{Use: name + " FILE", Short: short, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
 		switch len(args) {
 		case 0:
 			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
@@ -48,196 +56,141 @@
 		default:
 			return fmt.Errorf("%w: fleet %s: found %q, wanted nothing behind the file", errUsage, name, args[1])
 		}
-		f, err := supervisor.LoadFile(args[0])
+		file, err := supervisor.LoadFile(args[0])
 		if err != nil {
 			return err
 		}
-		return do(f, args[0])
+		return run(file, args[0])
 	}}
 }
 
-// asks is a verb that only asks the supervisor.
-func asks(name, does string, out io.Writer) *cobra.Command {
-	return verb(name, does, func(f *supervisor.File, _ string) error { return askFleet(f, out, name) })
+// controlVerb returns a verb that is a request to the supervisor.
+func controlVerb(name, short string, out io.Writer) *cobra.Command {
+	return fleetVerb(name, short, func(file *supervisor.File, _ string) error {
+		return sendToSupervisor(file, out, name)
+	})
+}
+
+// rollFlags are the flags of a rolling restart or reload.
+type rollFlags struct {
+	wait, everywhere bool
+	program          string
+	request          rollout.Request
 }
 
-// rolls is a verb that rolls through instances.
-func rolls(name, does string, out io.Writer) *cobra.Command {
-	var wait, all bool
-	var program string
-	order := rollout.Request{}
-	c := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: does, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
+// rollVerb returns the verb of a rolling restart or reload.
+func rollVerb(name, short string, out io.Writer) *cobra.Command {
+	var flags rollFlags
+	command := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
 		}
-		f, err := supervisor.LoadFile(args[0])
+		file, err := supervisor.LoadFile(args[0])
 		if err != nil {
 			return err
 		}
-		if all {
-			order.Program, order.Reload = program, name == "reload"
-			return restartEverywhere(f, order, args[1:], wait, out)
+		if flags.everywhere {
+			flags.request.Program, flags.request.Reload = flags.program, name == "reload"
+			return rollEverywhere(c.Context(), file, flags, args[1:], out)
 		}
-		words := []string{name}
-		if program != "" {
-			words = append(words, "-program", program)
-		}
-		if err := askFleet(f, out, append(words, args[1:]...)...); err != nil || !wait {
-			return err
-		}
-		return fleetWait(f, out)
+		return rollHost(file, name, flags, args[1:], out)
 	}}
-	c.Flags().BoolVar(&wait, "wait", false, "return when the roll is over")
+	command.Flags().BoolVar(&flags.wait, "wait", false, "return when the roll is over")
 	if name == "restart" {
-		c.Flags().StringVar(&program, "program", "", "the program to roll out; empty for the one that runs")
+		command.Flags().StringVar(&flags.program, "program", "", "the program to roll out; empty for the running one")
 	}
-	if name == "restart" || name == "reload" {
-		c.Flags().BoolVar(&all, "everywhere", false, name+" on all hosts of the file's council, by its owner")
-		c.Flags().IntVar(&order.MaxConcurrent, "at-once", 1, "with -everywhere: instances that may be under way in the fleet")
-		c.Flags().IntVar(&order.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no bound of its own")
+	command.Flags().BoolVar(&flags.everywhere, "everywhere", false, name+" on all hosts of the file's council, by the holder of its lease")
+	command.Flags().IntVar(&flags.request.MaxConcurrent, "at-once", 1, "with -everywhere: instances in flight in the fleet")
+	command.Flags().IntVar(&flags.request.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: instances in flight in a zone; 0 for no further bound")
+	return command
+}
+
+// rollHost requests a roll of the instances on this host.
+func rollHost(file *supervisor.File, name string, flags rollFlags, instances []string, out io.Writer) error {
+	request := []string{name}
+	if flags.program != "" {
+		request = append(request, "-program", flags.program)
 	}
-	return c
+	if err := sendToSupervisor(file, out, append(request, instances...)...); err != nil || !flags.wait {
+		return err
+	}
+	return waitForRoll(file, out)
 }
 
-func askFleet(f *supervisor.File, out io.Writer, words ...string) error {
-	answer, err := supervisor.Ask(f.Control, words...)
+// sendToSupervisor sends a request to the supervisor and prints its response.
+func sendToSupervisor(file *supervisor.File, out io.Writer, request ...string) error {
+	response, err := supervisor.Ask(file.Control, request...)
 	if err == nil {
-		_, err = io.WriteString(out, answer)
+		_, err = io.WriteString(out, response)
 	}
 	return err
 }
 
-func fleetCheck(f *supervisor.File, path string, out io.Writer) error {
-	specs, err := f.Specs()
-	if err == nil {
-		fmt.Fprintf(out, "%s: good; %s\n", path, plural(len(specs), "instance", "instances"))
+func fleetCheck(file *supervisor.File, path string, out io.Writer) error {
+	specs, err := file.Specs()
+	if err != nil {
+		return err
 	}
-	return err
+	return printf(out, "%s: good; %s\n", path, plural(len(specs), "instance", "instances"))
 }
 
 // fleetRun supervises until a signal.
-func fleetRun(f *supervisor.File, log *slog.Logger) error {
+func fleetRun(file *supervisor.File, log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	s, err := supervisor.New(f, log)
+	s, err := supervisor.New(file, log)
 	if err != nil {
 		return err
 	}
 	return s.Run(ctx)
 }
 
-// fleetWait shows the progress of a roll until it is over.
-func fleetWait(f *supervisor.File, out io.Writer) error {
-	last := ""
+// waitForRoll prints the progress of a roll until it is over, from the status that the
+// supervisor returns as text.
+func waitForRoll(file *supervisor.File, out io.Writer) error {
+	printed := ""
 	for {
-		text, err := supervisor.Ask(f.Control, "status")
+		status, err := supervisor.Ask(file.Control, "status")
 		if err != nil {
 			return err
 		}
-		roll := ""
-		for _, line := range strings.Split(text, "\n") {
-			if rest, ok := strings.CutPrefix(line, "roll: "); ok {
-				roll = rest
+		progress := rollProgress(status)
+		if progress != printed && progress != "" {
+			if err := printf(out, "%s\n", progress); err != nil {
+				return err
 			}
-		}
-		if roll != last && roll != "" {
-			fmt.Fprintln(out, roll)
-			last = roll
+			printed = progress
 		}
 		switch {
-		case strings.Contains(roll, "paused"):
-			return errors.New("the roll has paused")
-		case roll == "":
-			lines := strings.Split(strings.TrimSpace(text), "\n")
-			end := lines[len(lines)-1]
-			fmt.Fprintln(out, end)
-			if strings.Contains(end, "rolled back") || !strings.Contains(end, ", 0 did not") {
-				return errors.New("not all went well")
-			}
-			return nil
+		case strings.Contains(progress, "paused"):
+			return errRollPaused
+		case progress == "":
+			return printRollOutcome(status, out)
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(progressInterval)
 	}
 }
 
-// restartEverywhere gives the council an order and, where that is wanted, shows how
-// it goes until it has ended.
-func restartEverywhere(f *supervisor.File, order rollout.Request, names []string, wait bool, out io.Writer) error {
-	switch {
-	case f.Council.Name == "":
-		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", f.Path)
-	case len(names) > 0:
-		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, names[0])
-	case order.MaxConcurrent < 1 || order.MaxConcurrent > 100 || order.MaxConcurrentPerZone < 0:
-		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.MaxConcurrent, order.MaxConcurrentPerZone)
-	}
-	c := client.NewClient(f.Council.Name, f.Council.Members)
-	defer c.Close()
-	text, err := json.Marshal(order)
-	if err != nil {
-		return err
-	}
-	id := fmt.Sprintf("r%08x", rand.Uint32())
-	for { // the order has a number: asked twice it is one
-		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		a, err := c.Do(ctx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.Duty, Data: text})
-		cancel()
-		if errors.Is(err, client.ErrUnknownOutcome) {
-			continue
-		}
-		if err == nil && a.Rejection != "" {
-			err = errors.New(a.Rejection)
-		}
-		if err != nil {
-			return err
+// rollProgress returns the progress of the roll in a status; empty where there is none.
+func rollProgress(status string) (progress string) {
+	for line := range strings.SplitSeq(status, "\n") {
+		if text, found := strings.CutPrefix(line, "roll: "); found {
+			progress = text
 		}
-		break
-	}
-	fmt.Fprintf(out, "order %s\n", id)
-	if !wait {
-		return nil
 	}
-	return waitEverywhere(c, id, out)
+	return progress
 }
 
-func waitEverywhere(c *client.Client, id string, out io.Writer) error {
-	last := ""
-	for ; ; time.Sleep(200 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-		a, err := c.Do(ctx, client.Request{Kind: client.ReadState})
-		cancel()
-		if err != nil {
-			return err
-		}
-		line := ""
-		if d := a.State.Leases[supervisor.Duty]; d != nil && d.Checkpoint != nil {
-			var n rollout.Checkpoint
-			if json.Unmarshal(d.Checkpoint, &n) == nil && n.RolloutID == id {
-				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Completed, n.Total, d.Holder, d.Token)
-				if n.Waiting != "" {
-					line += ": " + n.Waiting
-				}
-			}
-		}
-		if line != last && line != "" {
-			fmt.Fprintln(out, line)
-			last = line
-		}
-		for _, o := range a.State.Operations {
-			if o.ID == id && o.Outcome == "done" {
-				fmt.Fprintln(out, "done")
-				return nil
-			} else if o.ID == id && o.Outcome != "" {
-				return errors.New(o.Outcome)
-			}
-		}
+// printRollOutcome prints the last line of a status, which is the outcome of the last
+// roll, and returns errRollFailed if it failed.
+func printRollOutcome(status string, out io.Writer) error {
+	lines := strings.Split(strings.TrimSpace(status), "\n")
+	outcome := lines[len(lines)-1]
+	if err := printf(out, "%s\n", outcome); err != nil {
+		return err
 	}
-}
-
-// plural words a count.
-func plural(n int, one, many string) string {
-	if n == 1 {
-		return "1 " + one
+	if strings.Contains(outcome, "rolled back") || !strings.Contains(outcome, ", 0 did not") {
+		return errRollFailed
 	}
-	return fmt.Sprintf("%d %s", n, many)
+	return nil
 }
--- /dev/null
+++ b/cmd/otterspring/fleet_everywhere.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
+	"otterspring/internal/fleet/rollout"
+	"otterspring/internal/fleet/supervisor"
+)
+
+// Bounds of the requests for a roll on all hosts.
+const (
+	operationTimeout  = 10 * time.Second // of one attempt
+	stateTimeout      = 30 * time.Second
+	maxConcurrentRoll = 100 // instances in flight
+)
+
+// rollEverywhere requests a roll on all hosts as an operation of the cluster, and with
+// -wait prints its progress until it is complete.
+func rollEverywhere(ctx context.Context, file *supervisor.File, flags rollFlags, instances []string, out io.Writer) error {
+	request := flags.request
+	switch {
+	case file.Council.Name == "":
+		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", file.Path)
+	case len(instances) > 0:
+		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, instances[0])
+	case request.MaxConcurrent < 1 || request.MaxConcurrent > maxConcurrentRoll || request.MaxConcurrentPerZone < 0:
+		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to %d, and 0 or more", errUsage, request.MaxConcurrent, request.MaxConcurrentPerZone, maxConcurrentRoll)
+	}
+	cluster := client.NewClient(file.Council.Name, file.Council.Members)
+	defer cluster.Close()
+	id, err := requestRoll(ctx, cluster, request)
+	if err != nil {
+		return err
+	}
+	if err := printf(out, "order %s\n", id); err != nil || !flags.wait {
+		return err
+	}
+	return waitForOperation(ctx, cluster, id, out)
+}
+
+// requestRoll requests an operation and returns its ID. An attempt with an unknown
+// outcome is repeated: the operation is applied once by its ID.
+func requestRoll(ctx context.Context, cluster *client.Client, request rollout.Request) (id string, err error) {
+	data, err := json.Marshal(request)
+	if err != nil {
+		return "", err
+	}
+	id = fmt.Sprintf("r%08x", rand.Uint32())
+	for {
+		attemptCtx, cancel := context.WithTimeout(ctx, operationTimeout)
+		response, err := cluster.Do(attemptCtx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.Duty, Data: data})
+		cancel()
+		switch {
+		case errors.Is(err, client.ErrUnknownOutcome):
+		case err != nil:
+			return "", err
+		case response.Rejection != "":
+			return "", errors.New(response.Rejection)
+		default:
+			return id, nil
+		}
+	}
+}
+
+// waitForOperation prints the progress of an operation until it is complete. An outcome
+// other than done is an error.
+func waitForOperation(ctx context.Context, cluster *client.Client, id string, out io.Writer) error {
+	printed := ""
+	for ; ; time.Sleep(progressInterval) {
+		state, err := readState(ctx, cluster)
+		if err != nil {
+			return err
+		}
+		if progress := operationProgress(state, id); progress != printed && progress != "" {
+			if err := printf(out, "%s\n", progress); err != nil {
+				return err
+			}
+			printed = progress
+		}
+		switch outcome := operationOutcome(state, id); outcome {
+		case "":
+		case "done":
+			return printf(out, "done\n")
+		default:
+			return errors.New(outcome)
+		}
+	}
+}
+
+func readState(ctx context.Context, cluster *client.Client) (*coordination.State, error) {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	defer cancel()
+	response, err := cluster.Do(ctx, client.Request{Kind: client.ReadState})
+	if err != nil {
+		return nil, err
+	}
+	return response.State, nil
+}
+
+// operationProgress returns the progress in the lease holder's checkpoint; empty where
+// the checkpoint is of another operation.
+func operationProgress(state *coordination.State, id string) string {
+	lease := state.Leases[supervisor.Duty]
+	if lease == nil || lease.Checkpoint == nil {
+		return ""
+	}
+	var checkpoint rollout.Checkpoint
+	if json.Unmarshal(lease.Checkpoint, &checkpoint) != nil || checkpoint.RolloutID != id {
+		return ""
+	}
+	progress := fmt.Sprintf("%d of %d by %s, epoch %v", checkpoint.Completed, checkpoint.Total, lease.Holder, lease.Token)
+	if checkpoint.Waiting != "" {
+		progress += ": " + checkpoint.Waiting
+	}
+	return progress
+}
+
+// operationOutcome returns the outcome of an operation; empty until it is complete.
+func operationOutcome(state *coordination.State, id string) string {
+	for _, operation := range state.Operations {
+		if operation.ID == id {
+			return operation.Outcome
+		}
+	}
+	return ""
+}
--- a/cmd/otterspring/main.go
+++ b/cmd/otterspring/main.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	errUsage = cli.ErrUsage
-	errSaid  = cli.ErrSaid
+	errUsage    = cli.ErrUsage
+	errReported = cli.ErrSaid
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -45,7 +45,7 @@
 	switch {
 	case err == nil:
 		return exitDone
-	case errors.Is(err, errSaid):
+	case errors.Is(err, errReported):
 		return exitFailed
 	}
 	cli.Fail(errw, "otterspring", log, err)
--- a/cmd/otterspring/main_test.go
+++ b/cmd/otterspring/main_test.go
@@ -8,14 +8,21 @@
 	"testing"
 )
 
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good, bad, ill := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml"), filepath.Join(dir, "fleet.toml")
-	os.WriteFile(good, []byte("[drain]\nfinish = \"3s\"\n"), 0o600)
-	os.WriteFile(bad, []byte("[drain]\nfinish = 3\n"), 0o600)
+	writeFile(t, good, "[drain]\nfinish = \"3s\"\n")
+	writeFile(t, bad, "[drain]\nfinish = 3\n")
 	worse := filepath.Join(dir, "worse.toml")
-	os.WriteFile(worse, []byte("[drain]\nfinish = 3\n[handover]\nready_within = \"1h\"\nsockets = \"/run/x\"\n"), 0o600)
-	os.WriteFile(ill, []byte("program = \"x\"\n"), 0o600)
+	writeFile(t, worse, "[drain]\nfinish = 3\n[handover]\nready_within = \"1h\"\nsockets = \"/run/x\"\n")
+	writeFile(t, ill, "program = \"x\"\n")
 	for _, c := range []struct {
 		args []string
 		code int
@@ -49,17 +56,17 @@
 		if code != c.code || !strings.Contains(text, c.want) {
 			t.Errorf("%v: exit code %d, want %d: %s", c.args, code, c.code, text)
 		}
-		// One line for one fault, and no line that counts them.
+		// One line for each error, and no line that counts them.
 		faults := 1
 		if len(c.args) > 1 && c.args[1] == worse {
 			faults = 3
 		}
-		said := errw.String()
+		lines := errw.String()
 		if c.code == 1 {
-			said = strings.ReplaceAll(text, good+": good; on: drain\n", "")
+			lines = strings.ReplaceAll(text, good+": good; on: drain\n", "")
 		}
-		if code != 0 && len(c.args) > 0 && strings.Count(said, "\n") != faults {
-			t.Errorf("%v: said %q, wanted lines: %d", c.args, said, faults)
+		if code != 0 && len(c.args) > 0 && strings.Count(lines, "\n") != faults {
+			t.Errorf("%v: printed %q, wanted lines: %d", c.args, lines, faults)
 		}
 	}
 }
@@ -76,7 +83,7 @@
 func TestNoSupervisor(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
-	os.WriteFile(path, []byte("program = \"/bin/true\"\ndirectory = \"run\"\ncount = 1\nlisten = \"127.0.0.1:9\"\n"), 0o600)
+	writeFile(t, path, "program = \"/bin/true\"\ndirectory = \"run\"\ncount = 1\nlisten = \"127.0.0.1:9\"\n")
 	var out, errw bytes.Buffer
 	if code := run([]string{"fleet", "status", path}, &out, &errw); code != 1 || !strings.Contains(errw.String(), "found no control socket") || strings.Count(errw.String(), "\n") != 1 {
 		t.Errorf("%d: %s", code, errw.String())
--- /dev/null
+++ b/cmd/otterspring/print.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"fmt"
+	"io"
+)
+
+// printer prints to a writer until a write fails, and has the first error.
+type printer struct {
+	out io.Writer
+	err error
+}
+
+func (p *printer) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.out, format, args...)
+	}
+}
+
+func (p *printer) println(args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintln(p.out, args...)
+	}
+}
+
+// printf prints to a writer and returns its error.
+func printf(out io.Writer, format string, args ...any) error {
+	_, err := fmt.Fprintf(out, format, args...)
+	return err
+}
+
+// plural returns a number with its noun.
+func plural(n int, one, many string) string {
+	if n == 1 {
+		return "1 " + one
+	}
+	return fmt.Sprintf("%d %s", n, many)
+}
--- a/cmd/otterspring/relay.go
+++ b/cmd/otterspring/relay.go
@@ -26,20 +26,20 @@
 // relayCommand is `otterspring relay` with its verbs.
 func relayCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
 	return cli.Root("relay", "serve a region's configuration to the sidecars of a zone",
-		"relay follows the council of a region and serves its configuration to the sidecars of a zone\n"+
-			"(docs/operate/configuration.md). It keeps no file. SIGTERM and SIGINT hand the subscribers on\n"+
+		"relay watches the configuration in the council of a region and serves it to the sidecars of a zone\n"+
+			"(docs/operate/configuration.md). It stores no file. SIGTERM and SIGINT drain its subscribers\n"+
 			"within the file's drain; a second one ends it at once. Exit codes: 0 done, 1 it could not be\n"+
 			"done, 2 usage.",
 		relayRun(log), relayCheck(out), relayStatus(out))
 }
 
 func relayRun(log func() *slog.Logger) *cobra.Command {
-	return relayVerb("run FILE", "serve until a signal", func(path string) error {
+	return relayVerb("run FILE", "serve until a signal", func(ctx context.Context, path string) error {
 		file, err := relay.LoadFile(path)
 		if err != nil {
 			return err
 		}
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		context.AfterFunc(ctx, stop) // a second signal ends the process
 		process, err := relay.Open(file, log())
@@ -51,21 +51,21 @@
 }
 
 func relayCheck(out io.Writer) *cobra.Command {
-	return relayVerb("check FILE", "say what is wrong with a file, start nothing", func(path string) error {
+	return relayVerb("check FILE", "check a file without starting anything", func(_ context.Context, path string) error {
 		file, err := relay.LoadFile(path)
-		if err == nil {
-			fmt.Fprintf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
-				plural(len(file.Members), "member", "members"), plural(file.SnapshotsAtOnce, "snapshot", "snapshots"))
+		if err != nil {
+			return err
 		}
-		return err
+		return printf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
+			plural(len(file.Members), "member", "members"), plural(file.SnapshotsAtOnce, "snapshot", "snapshots"))
 	})
 }
 
-// relayStatus asks a relay how it is.
+// relayStatus prints the status of a relay.
 func relayStatus(out io.Writer) *cobra.Command {
 	var asJSON bool
-	c := relayVerb("status ADDRESS", "how a relay that runs is", func(address string) error {
-		text, err := fetchRelayInfo(address)
+	command := relayVerb("status ADDRESS", "show the status of a running relay", func(ctx context.Context, address string) error {
+		text, err := fetchRelayInfo(ctx, address)
 		if err != nil {
 			return err
 		}
@@ -74,18 +74,16 @@
 			return fmt.Errorf("%s: found no relay, but another server", address)
 		}
 		if asJSON {
-			fmt.Fprintln(out, string(text))
-			return nil
+			return printf(out, "%s\n", text)
 		}
-		printRelayInfo(out, &info)
-		return nil
+		return printRelayInfo(out, &info)
 	})
-	c.Flags().BoolVar(&asJSON, "json", false, "the relay's own answer, as JSON in one line")
-	return c
+	command.Flags().BoolVar(&asJSON, "json", false, "print the relay's response, as JSON in one line")
+	return command
 }
 
-func fetchRelayInfo(address string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), relayStatusTimeout)
+func fetchRelayInfo(ctx context.Context, address string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayStatusTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+relay.InfoPath, nil)
 	if err != nil {
@@ -103,7 +101,7 @@
 	return text, err
 }
 
-func printRelayInfo(out io.Writer, info *relay.Info) {
+func printRelayInfo(out io.Writer, info *relay.Info) error {
 	state := "serves"
 	switch {
 	case info.Draining:
@@ -111,21 +109,23 @@
 	case !info.Ready:
 		state = "has not heard from a council yet"
 	}
-	fmt.Fprintf(out, "relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
-	fmt.Fprintf(out, "version %v, %d ms old\n", info.Version, info.AgeMS)
-	fmt.Fprintf(out, "%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
+	p := &printer{out: out}
+	p.printf("relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
+	p.printf("version %v, %d ms old\n", info.Version, info.AgeMS)
+	p.printf("%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
 		plural(int(info.Connections), "connection", "connections"), info.Counts.ConnectionsRefused)
-	fmt.Fprintf(out, "%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
+	p.printf("%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
 		info.Counts.Polls, info.Counts.Empty, info.Counts.Deltas, info.Counts.Snapshots, info.SnapshotsNow, info.SnapshotsPeak,
 		info.Counts.Busy, info.Counts.Cut)
+	return p.err
 }
 
-// relayVerb is a verb that takes one word.
-func relayVerb(use, short string, do func(word string) error) *cobra.Command {
+// relayVerb returns a verb that takes one argument.
+func relayVerb(use, short string, run func(ctx context.Context, arg string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
 		if len(args) != 1 {
 			return fmt.Errorf("%w: relay %s: found %d words, wanted: %s", errUsage, c.Name(), len(args), use)
 		}
-		return do(args[0])
+		return run(c.Context(), args[0])
 	}}
 }
--- a/cmd/otterspring/relay_test.go
+++ b/cmd/otterspring/relay_test.go
@@ -19,8 +19,7 @@
 	"otterspring/internal/fleet/relay"
 )
 
-// programVariable makes this program be otterspring, in place of the tests: TestMain
-// sees to it.
+// programVariable lets TestMain run otterspring instead of the tests.
 const programVariable = "TEST_OTTERSPRING"
 
 // writeRelayFile writes a relay's file and returns its path.
@@ -34,13 +33,13 @@
 	return path
 }
 
-// freeAddress is one at which nobody listens, with an IP that no other test uses.
+// freeAddress returns an address without a listener, with an IP that no other test uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	return freePort(t, fmt.Sprintf("127.%d.%d.%d", 150+os.Getpid()%40, 1+os.Getpid()/40%250, 1+testIPs.Add(1)))
 }
 
-// freePort is an address of an IP at which nobody listens. No child is started
+// freePort returns an address of an IP without a listener. No child is started
 // meanwhile: until it runs its program it would have a copy of the listener, and keep
 // the address in use.
 func freePort(t *testing.T, ip string) string {
@@ -55,10 +54,12 @@
 	return listener.Addr().String()
 }
 
-// Each fault of a relay is one line with its place, and the right exit code.
+// Each error of a relay is one line with its place, and the right exit code.
 func TestRelayExitCodes(t *testing.T) {
 	foreign := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found council west, wanted east"})
+		if err := json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found cluster west, wanted east"}); err != nil {
+			t.Error(err)
+		}
 	}))
 	defer foreign.Close()
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,37 +95,37 @@
 	}
 }
 
-// startRelay starts a relay without a council in a process of its own.
+// startRelay starts a process of a relay without a cluster.
 func startRelay(t *testing.T, more string) (process *exec.Cmd, address string) {
 	t.Helper()
 	address = freeAddress(t)
 	process = exec.Command(os.Args[0], "relay", "run", writeRelayFile(t, address, freeAddress(t), more))
 	process.Env = append(os.Environ(), programVariable+"=1")
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends with the test program
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { process.Process.Kill(); process.Wait() })
+	t.Cleanup(func() { kill(t, process) })
 	awaitRelay(t, address, func(*relay.Info) bool { return true })
 	return process, address
 }
 
-// awaitRelay waits until a relay answers, and something is true of it.
-func awaitRelay(t *testing.T, address string, is func(info *relay.Info) bool) {
+// awaitRelay waits until a relay responds with an info that is wanted.
+func awaitRelay(t *testing.T, address string, wanted func(info *relay.Info) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		var out, errw bytes.Buffer
 		var info relay.Info
-		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && is(&info) {
+		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && wanted(&info) {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("relay %s: %s%s", address, out.String(), errw.String())
 		}
 	}
 }
 
-// The first signal begins a drain, the second ends the process at once.
+// The first signal starts a drain, the second one ends the process at once.
 func TestRelaySignals(t *testing.T) {
 	t.Parallel()
 	process, address := startRelay(t, "drain = \"100ms\"\n")
@@ -132,7 +133,9 @@
 	if code := run([]string{"relay", "status", address}, &out, &errw); code != 0 || !strings.Contains(out.String(), "has not heard from a council yet") {
 		t.Errorf("status: %d %s%s", code, out.String(), errw.String())
 	}
-	process.Process.Signal(syscall.SIGTERM)
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
 	if err := process.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v, wanted exit code 0", err)
 	}
@@ -142,11 +145,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	process.Process.Signal(syscall.SIGTERM)
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
 	awaitRelay(t, address, func(info *relay.Info) bool { return info.Draining })
-	process.Process.Signal(syscall.SIGTERM)
-	process.Wait()
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Wait(); err == nil {
+		t.Error("after the second SIGTERM: exit code 0, wanted a signal")
+	}
 	if status := process.ProcessState.Sys().(syscall.WaitStatus); !status.Signaled() || status.Signal() != syscall.SIGTERM {
-		t.Errorf("after the second SIGTERM: %v, wanted an end by it", process.ProcessState)
+		t.Errorf("after the second SIGTERM: %v, wanted an end by the signal", process.ProcessState)
 	}
 }
