--- a/cmd/otterspring/check.go
+++ b/cmd/otterspring/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // checkCommand is `otterspring check`.
@@ -31,7 +31,7 @@
 	output := &printer{out: out}
 	failed := false
 	for _, path := range paths {
-		file, errs := operator.LoadAll(path)
+		file, errs := operatorconfig.LoadAll(path)
 		for _, err := range errs {
 			output.println(err)
 			failed = true
@@ -40,7 +40,7 @@
 			continue
 		}
 		enabled := "everything is off"
-		if names := file.On(); len(names) > 0 {
+		if names := file.EnabledSections(); len(names) > 0 {
 			enabled = "on: " + strings.Join(names, ", ")
 		}
 		output.printf("%s: good; %s\n", path, enabled)
--- a/cmd/otterspring/fleet_everywhere.go
+++ b/cmd/otterspring/fleet_everywhere.go
@@ -87,8 +87,8 @@
 		}
 		switch outcome := operationOutcome(state, id); outcome {
 		case "":
-		case "done":
-			return printf(out, "done\n")
+		case rollout.ResultDone:
+			return printf(out, "%s\n", rollout.ResultDone)
 		default:
 			return errors.New(outcome)
 		}
