--- a/internal/keytest/keytest.go
+++ b/internal/keytest/keytest.go
@@ -17,6 +17,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"otterspring/internal/disk"
 )
 
 var update = flag.Bool("update-keys", false, "write the lists of keys anew instead of comparing them")
@@ -45,10 +47,10 @@
 	}
 	got := list.String()
 	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		if err := disk.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+		if err := disk.Replace(path, []byte(got), false); err != nil {
 			t.Fatal(err)
 		}
 		return
