--- a/cmd/otterspring/council.go
+++ b/cmd/otterspring/council.go
@@ -36,7 +36,7 @@
 // councilCommand is `otterspring council` with its verbs. The operators' pages call the
 // cluster a council, a lease a duty and an operation an order.
 func councilCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("council", "run and query the members that grant leases for the whole fleet",
+	return cli.NewGroup("council", "run and query the members that grant leases for the whole fleet",
 		"council runs one of 3 or 5 members that agree on one holder for each lease of the fleet\n"+
 			"(docs/operate/council.md), and sends requests to them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
 		councilRun(log), councilCheck(out), councilStatus(out), councilLeases(out), councilStepDown(out), councilMembers(out),
@@ -206,7 +206,7 @@
 			return printf(out, "member %d: %s done\n", number, kind)
 		})
 	}
-	return cli.Root("members", "change the members, one at a time", "members add NUMBER ADDRESS adds a member as a learner (run it with -join, from a file that names it); it becomes\n"+
+	return cli.NewGroup("members", "change the members, one at a time", "members add NUMBER ADDRESS adds a member as a learner (run it with -join, from a file that names it); it becomes\n"+
 		"a voter when it has caught up. members remove NUMBER removes one; its number is not used again.",
 		change(client.AddMember, "add FILE NUMBER ADDRESS", "add a member", 2), change(client.RemoveMember, "remove FILE NUMBER", "remove a member", 1))
 }
--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -29,7 +29,7 @@
 
 // fleetCommand is `otterspring fleet` with its verbs.
 func fleetCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("fleet", "run many sidecars on a host, restart and reload them",
+	return cli.NewGroup("fleet", "run many sidecars on a host, restart and reload them",
 		"fleet supervises the instances that a file describes (docs/operate/fleet.md). run does so\n"+
 			"until SIGTERM or SIGINT, and then stops them; the other verbs send a request to the running\n"+
 			"supervisor, over its control socket. If it is killed the instances continue; the next one\n"+
