--- a/cmd/sandhinge/deps_test.go
+++ b/cmd/sandhinge/deps_test.go
@@ -23,7 +23,7 @@
 			}
 		}
 	}
-	if !found["otterspring/internal/subscription"] {
-		t.Errorf("found %d packages without internal/subscription: the list is not the sidecar's", len(found))
+	if !found["otterspring/internal/sidecar/configclient"] {
+		t.Errorf("found %d packages without internal/sidecar/configclient: the list is not the sidecar's", len(found))
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/subscription"
+	"otterspring/internal/sidecar/configclient"
 )
 
 // HollowWord is the word by which a program that links this package becomes a
@@ -74,7 +74,7 @@
 // hollowSubscriber is one subscriber over all its incarnations.
 type hollowSubscriber struct {
 	number   uint32
-	settings subscription.Settings
+	settings configclient.Settings
 	services map[string]uint16
 	reports  *reporter
 	bytes    atomic.Int64 // both ways, since the last count
@@ -91,7 +91,7 @@
 	h.rng = rand.New(rand.NewPCG(spec.Seed, 0x686f6c6c6f77))
 	for i, one := range spec.Subscribers {
 		s := &hollowSubscriber{number: uint32(i), reports: h.reports, services: make(map[string]uint16, len(one.Services))}
-		s.settings = subscription.Settings{Region: spec.Region, Subscriber: one.Name, Dial: s.dial}
+		s.settings = configclient.Settings{Region: spec.Region, Subscriber: one.Name, Dial: s.dial}
 		for _, relay := range one.Relays {
 			s.settings.Relays = append(s.settings.Relays, spec.Relays[relay])
 		}
@@ -142,7 +142,7 @@
 	settings := s.settings
 	settings.Seed = seed
 	s.reports.add(Report{Kind: ReportStart, Subscriber: s.number, At: Now()})
-	client := subscription.New(settings, s.apply)
+	client := configclient.New(settings, s.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	s.stop, s.ended = cancel, ended
--- a/internal/subscription/subscription_test.go
+++ b/internal/sidecar/configclient/client_test.go
@@ -1,4 +1,4 @@
-package subscription
+package configclient
 
 import (
 	"bytes"
@@ -16,27 +16,28 @@
 	"time"
 
 	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/testkit"
 )
 
-// hang is a bound that only detects a test which hangs.
-const hang = 30 * time.Second
+// hangTimeout is how long a test waits for a condition before it fails.
+const hangTimeout = 30 * time.Second
 
 const region = "north"
 
-// relay is a stand-in for a relay on a real loopback connection.
-type relay struct {
+// fakeRelay responds to polls over loopback connections.
+type fakeRelay struct {
 	*httptest.Server
 	mu          sync.Mutex
 	polls       []configuration.Poll
 	connections int
 	ended       chan struct{}
-	// answer is called for each poll with its number, from 0 on.
-	answer func(w http.ResponseWriter, poll configuration.Poll, number int)
+	// respond is called for each poll with its number, from 0 on.
+	respond func(w http.ResponseWriter, poll configuration.Poll, number int)
 }
 
-func newRelay(t *testing.T, answer func(w http.ResponseWriter, poll configuration.Poll, number int)) *relay {
+func newFakeRelay(t *testing.T, respond func(w http.ResponseWriter, poll configuration.Poll, number int)) *fakeRelay {
 	t.Helper()
-	r := &relay{answer: answer, ended: make(chan struct{})}
+	r := &fakeRelay{respond: respond, ended: make(chan struct{})}
 	r.Server = httptest.NewUnstartedServer(http.HandlerFunc(r.serve))
 	r.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -54,7 +55,7 @@
 	return r
 }
 
-func (r *relay) serve(w http.ResponseWriter, request *http.Request) {
+func (r *fakeRelay) serve(w http.ResponseWriter, request *http.Request) {
 	var poll configuration.Poll
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
@@ -66,67 +67,78 @@
 	number := len(r.polls)
 	r.polls = append(r.polls, poll)
 	r.mu.Unlock()
-	r.answer(w, poll, number)
+	r.respond(w, poll, number)
 }
 
-func (r *relay) address() string { return r.Listener.Addr().String() }
+func (r *fakeRelay) address() string { return r.Listener.Addr().String() }
 
-func (r *relay) heard() []configuration.Poll {
+func (r *fakeRelay) received() []configuration.Poll {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.polls)
 }
 
-func (r *relay) count() int { return len(r.heard()) }
+func (r *fakeRelay) count() int { return len(r.received()) }
 
-// update writes an update with a resource of version to a poll that lacks it, and
-// one without news after the poll's wait to others.
+// update responds with a resource of a version if the poll has an older one, and else with
+// an empty update after the poll's wait.
 func update(w http.ResponseWriter, poll configuration.Poll, version configuration.Version) {
-	answer := configuration.PollResponse{Region: region, Update: &configuration.Update{From: poll.Version, Version: version}}
+	response := configuration.PollResponse{Region: region, Update: &configuration.Update{From: poll.Version, Version: version}}
 	if poll.Version < version {
-		answer.Update.Resources = []configuration.Resource{{Service: "orders", Version: version, Settings: json.RawMessage(`{}`)}}
+		response.Update.Resources = []configuration.Resource{{Service: "orders", Version: version, Settings: json.RawMessage(`{}`)}}
 	} else {
 		time.Sleep(time.Duration(poll.WaitMS) * time.Millisecond)
 	}
-	write(w, answer)
+	write(w, response)
 }
 
-func refuse(w http.ResponseWriter, refusal configuration.ErrorCode) {
-	write(w, configuration.PollResponse{Region: region, ErrorCode: refusal, RetryAfterMS: 1})
+func reject(w http.ResponseWriter, code configuration.ErrorCode) {
+	write(w, configuration.PollResponse{Region: region, ErrorCode: code, RetryAfterMS: 1})
 }
 
-func write(w http.ResponseWriter, answer configuration.PollResponse) {
-	json.NewEncoder(w).Encode(answer)
+func write(w http.ResponseWriter, response configuration.PollResponse) {
+	text, err := json.Marshal(response)
+	if err != nil {
+		panic(err) // all its fields marshal
+	}
+	writeText(w, text)
+}
+
+// writeText writes a response. That the client has disconnected is no failure of a test.
+func writeText(w http.ResponseWriter, text []byte) {
+	if _, err := w.Write(text); err != nil {
+		slog.Debug("fake relay: response not written", "error", err)
+	}
 }
 
-// holding answers with updates up to a version.
-func holding(version configuration.Version) func(http.ResponseWriter, configuration.Poll, int) {
+// updatesUpTo responds with updates up to a version.
+func updatesUpTo(version configuration.Version) func(http.ResponseWriter, configuration.Poll, int) {
 	return func(w http.ResponseWriter, poll configuration.Poll, _ int) { update(w, poll, version) }
 }
 
-// times are short where a test waits for them. Timeouts are long, but for those of
-// tests that wait for one.
+// times returns short waits and long timeouts; a test that waits for a timeout sets its
+// own.
 func times(relays int) configuration.SubscriberSettings {
 	s := configuration.DefaultSubscriberSettings(relays)
-	s.PollWait, s.ResponseTimeout, s.ProbeInterval = 50*time.Millisecond, hang, 100*time.Millisecond
+	s.PollWait, s.ResponseTimeout, s.ProbeInterval = 50*time.Millisecond, hangTimeout, 100*time.Millisecond
 	s.RetryMin, s.RetryMax = time.Millisecond, 10*time.Millisecond
 	return s
 }
 
-// client is a running client with what it has applied.
-type client struct {
+// runningClient is a running client with the versions that it has applied.
+type runningClient struct {
 	*Client
+	reject  ApplyFunc // nil for no rejections
 	mu      sync.Mutex
 	applied []configuration.Version
-	reject  func(configuration.Changes, configuration.Version) []configuration.Rejection
 }
 
-func run(t *testing.T, s configuration.SubscriberSettings, reject Apply, relays ...string) *client {
+func run(t *testing.T, s configuration.SubscriberSettings, reject ApplyFunc, relays ...string) *runningClient {
 	t.Helper()
-	c := &client{reject: reject}
+	c := &runningClient{reject: reject}
 	settings := Settings{Region: region, Subscriber: "n1", Relays: relays, Services: configuration.Subscription{"orders", "stock"}, Seed: 1}
 	s.Relays = len(relays)
-	c.Client = newClient(settings, s, c.take)
+	c.Client = newClient(settings, s, c.applyChanges)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -137,61 +149,50 @@
 		cancel()
 		select {
 		case <-ended:
-		case <-time.After(hang):
-			t.Error("Run: found it running after its context's end, wanted it to return")
+		case <-time.After(hangTimeout):
+			t.Error("Run: running after its context's end, wanted it to return")
 		}
 	})
 	return c
 }
 
-func (c *client) take(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
+func (c *runningClient) applyChanges(changes configuration.Changes, version configuration.Version) []configuration.Rejection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applied = append(c.applied, version)
 	if c.reject == nil {
 		return nil
 	}
-	return c.reject(taken, version)
+	return c.reject(changes, version)
 }
 
-func (c *client) versions() []configuration.Version {
+func (c *runningClient) versions() []configuration.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.applied)
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, name string, isMet func() bool) {
 	t.Helper()
-	for end := time.Now().Add(hang); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not so after %v", what, hang)
+	for deadline := time.Now().Add(hangTimeout); !isMet(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: not within %v", name, hangTimeout)
 		}
 	}
 }
 
-func (c *client) wantVersion(t *testing.T, version configuration.Version) {
+func (c *runningClient) wantVersion(t *testing.T, version configuration.Version) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("version %v in force", version), func() bool {
+	eventually(t, fmt.Sprintf("version %v applied", version), func() bool {
 		versions := c.versions()
 		return len(versions) > 0 && versions[len(versions)-1] == version
 	})
 }
 
-// refusedAddress is where nobody listens.
-func refusedAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
-
-func TestClientTakesChangesInOrderAndAcknowledgesThemAtOnce(t *testing.T) {
+func TestClientAppliesAndAcknowledgesInOrder(t *testing.T) {
 	var newest sync.Map
 	newest.Store("version", configuration.NewVersion(1, 1))
-	r := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+	r := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
 		version, _ := newest.Load("version")
 		update(w, poll, version.(configuration.Version))
 	})
@@ -201,14 +202,14 @@
 		newest.Store("version", version)
 		c.wantVersion(t, version)
 		eventually(t, "acknowledged", func() bool {
-			polls := r.heard()
+			polls := r.received()
 			return polls[len(polls)-1].Version == version
 		})
 	}
 	if versions := c.versions(); !slices.IsSorted(versions) || len(versions) != 5 {
 		t.Errorf("applied: found %v, wanted five in order", versions)
 	}
-	polls := r.heard()
+	polls := r.received()
 	first := polls[0]
 	if first.Region != region || first.Subscriber != "n1" || !slices.Equal(first.Services, []string{"orders", "stock"}) || first.Version != 0 || first.WaitMS != 0 {
 		t.Errorf("first poll: found %+v, wanted that of n1 for both services, without a version and a wait", first)
@@ -229,7 +230,7 @@
 	}
 }
 
-func TestClientGoesByARelayThatGivesNoAnswer(t *testing.T) {
+func TestClientLeavesFailingRelay(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
 	short := times(2)
 	short.ResponseTimeout = 200 * time.Millisecond
@@ -238,49 +239,52 @@
 		name  string
 		times configuration.SubscriberSettings
 		first func(w http.ResponseWriter, ended chan struct{})
-		said  string // a part of the line in the log
+		want  string // part of the log
 	}{
-		{"hanging", short, func(_ http.ResponseWriter, ended chan struct{}) { <-ended }, "waiting for the answer: "},
-		{"half an answer", short, func(w http.ResponseWriter, ended chan struct{}) {
+		{"unresponsive", short, func(_ http.ResponseWriter, ended chan struct{}) { <-ended }, "waiting for the response: "},
+		{"half a response", short, func(w http.ResponseWriter, ended chan struct{}) {
 			w.Header().Set("Content-Length", "1000")
-			fmt.Fprint(w, `{"region":`)
+			writeText(w, []byte(`{"region":`))
 			w.(http.Flusher).Flush()
 			<-ended
-		}, "reading the answer: "},
-		{"shut", times(2), func(http.ResponseWriter, chan struct{}) { panic(http.ErrAbortHandler) }, "the connection was shut without an answer"},
-		{"shut after half", times(2), func(w http.ResponseWriter, _ chan struct{}) {
+		}, "reading the response: "},
+		{"closed", times(2), func(http.ResponseWriter, chan struct{}) { panic(http.ErrAbortHandler) }, "the connection was closed without a response"},
+		{"closed after half", times(2), func(w http.ResponseWriter, _ chan struct{}) {
 			w.Header().Set("Content-Length", "1000")
-			fmt.Fprint(w, `{"region":`)
-		}, "reading the answer: unexpected EOF"},
-		{"no JSON", times(2), func(w http.ResponseWriter, _ chan struct{}) { http.Error(w, "no", http.StatusNotFound) }, "answer of status 404"},
+			writeText(w, []byte(`{"region":`))
+		}, "reading the response: unexpected EOF"},
+		{"no JSON", times(2), func(w http.ResponseWriter, _ chan struct{}) { http.Error(w, "no", http.StatusNotFound) }, "response of status 404"},
 		{"too long", times(2), func(w http.ResponseWriter, _ chan struct{}) {
-			text, _ := json.Marshal(older)
-			w.Write(append(text, bytes.Repeat([]byte(" "), configuration.MaxResponseBytes)...))
+			text, err := json.Marshal(older)
+			if err != nil {
+				t.Error(err)
+			}
+			writeText(w, append(text, bytes.Repeat([]byte(" "), configuration.MaxResponseBytes)...))
 		}, "body size exceeds the given limit"},
 		{"other region", times(2), func(w http.ResponseWriter, _ chan struct{}) {
 			write(w, configuration.PollResponse{Region: "south", Update: older.Update})
-		}, "found an answer of"},
-		{"neither update nor refusal", times(2), func(w http.ResponseWriter, _ chan struct{}) {
+		}, "found a response of"},
+		{"neither update nor error code", times(2), func(w http.ResponseWriter, _ chan struct{}) {
 			write(w, configuration.PollResponse{Region: region})
-		}, `found refusal \"\" (), wanted an update`},
+		}, `found error code \"\" (), wanted an update`},
 		{"age below zero", times(2), func(w http.ResponseWriter, _ chan struct{}) {
 			write(w, configuration.PollResponse{Region: region, AgeMS: -1, Update: older.Update})
 		}, ""},
-		{"draining", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.CodeDraining) }, `found refusal \"draining\"`},
-		{"not ready", times(2), func(w http.ResponseWriter, _ chan struct{}) { refuse(w, configuration.CodeNotReady) }, `found refusal \"not_ready\"`},
+		{"draining", times(2), func(w http.ResponseWriter, _ chan struct{}) { reject(w, configuration.CodeDraining) }, `found error code \"draining\"`},
+		{"not ready", times(2), func(w http.ResponseWriter, _ chan struct{}) { reject(w, configuration.CodeNotReady) }, `found error code \"not_ready\"`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			log := captureLog(t)
-			var near *relay
-			near = newRelay(t, func(w http.ResponseWriter, _ configuration.Poll, _ int) { test.first(w, near.ended) })
-			far := newRelay(t, holding(version))
+			var near *fakeRelay
+			near = newFakeRelay(t, func(w http.ResponseWriter, _ configuration.Poll, _ int) { test.first(w, near.ended) })
+			far := newFakeRelay(t, updatesUpTo(version))
 			c := run(t, test.times, nil, near.address(), far.address())
 			c.wantVersion(t, version)
 			if versions := c.versions(); len(versions) != 1 {
 				t.Errorf("applied: found %v, wanted %v alone", versions, version)
 			}
-			if text := log.String(); !strings.Contains(text, test.said) {
-				t.Errorf("log: found %q, wanted %q", text, test.said)
+			if text := log.String(); !strings.Contains(text, test.want) {
+				t.Errorf("log: found %q, wanted %q", text, test.want)
 			}
 			if near.count() == 0 {
 				t.Error("nearest relay: found no poll, wanted the first one there")
@@ -289,41 +293,41 @@
 	}
 }
 
-func TestClientGoesByARelayThatRefusesConnections(t *testing.T) {
+func TestClientLeavesRelayThatIsDown(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
-	far := newRelay(t, holding(version))
-	c := run(t, times(2), nil, refusedAddress(t), far.address())
+	far := newFakeRelay(t, updatesUpTo(version))
+	c := run(t, times(2), nil, testkit.FreePort(t, "127.0.0.1"), far.address())
 	c.wantVersion(t, version)
 }
 
-func TestClientStaysWithWhatItHasWhereARelayIsOlder(t *testing.T) {
+func TestClientRejectsOlderVersions(t *testing.T) {
 	newer, older := configuration.NewVersion(1, 7), configuration.NewVersion(1, 3)
-	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
 		write(w, configuration.PollResponse{Region: region, Update: &configuration.Update{From: 0, Version: older, Resources: []configuration.Resource{
 			{Service: "orders", Version: older, Settings: json.RawMessage(`{}`)},
 		}}})
 	})
-	far := newRelay(t, holding(newer))
-	gone := refusedAddress(t)
-	c := run(t, times(3), nil, gone, far.address(), near.address())
+	far := newFakeRelay(t, updatesUpTo(newer))
+	down := testkit.FreePort(t, "127.0.0.1")
+	c := run(t, times(3), nil, down, far.address(), near.address())
 	c.wantVersion(t, newer)
-	far.Close() // the older one is all that is left
+	far.Close() // only the older one is left
 	eventually(t, "three polls at the older relay", func() bool { return near.count() >= 3 })
 	if versions := c.versions(); len(versions) != 1 || c.Status().Version != newer {
 		t.Errorf("applied: found %v and status %+v, wanted %v alone", versions, c.Status(), newer)
 	}
 }
 
-func TestClientComesAgainToABusyRelay(t *testing.T) {
+func TestClientRetriesBusyRelay(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
-	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number < 3 {
-			refuse(w, configuration.CodeBusy)
+			reject(w, configuration.CodeBusy)
 			return
 		}
 		update(w, poll, version)
 	})
-	far := newRelay(t, holding(version))
+	far := newFakeRelay(t, updatesUpTo(version))
 	c := run(t, times(2), nil, near.address(), far.address())
 	c.wantVersion(t, version)
 	if near.count() < 4 || far.count() > 0 {
@@ -331,10 +335,10 @@
 	}
 }
 
-// What bounds it is the subscriber; the client has to heed the time of the next poll.
-func TestClientIsNotPacedByARelayThatDoesNotWait(t *testing.T) {
+// The subscriber limits the poll rate; the client has to respect the time of the next poll.
+func TestClientLimitsItsPollRate(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
-	r := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+	r := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
 		poll.WaitMS = 0
 		update(w, poll, version)
 	})
@@ -343,41 +347,41 @@
 	before, start := r.count(), time.Now()
 	time.Sleep(time.Second)
 	found := r.count() - before
-	if most := int(time.Since(start)/(250*time.Millisecond)) + 10; found > most {
-		t.Errorf("polls: found %d within %v, wanted %d at most", found, time.Since(start), most)
+	if limit := int(time.Since(start)/(250*time.Millisecond)) + 10; found > limit {
+		t.Errorf("polls: found %d within %v, wanted %d at most", found, time.Since(start), limit)
 	}
 }
 
-func TestClientReturnsToTheNearestRelay(t *testing.T) {
+func TestClientReturnsToNearestRelay(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
-	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number < 2 {
-			refuse(w, configuration.CodeDraining)
+			reject(w, configuration.CodeDraining)
 			return
 		}
 		update(w, poll, version)
 	})
-	far := newRelay(t, holding(version))
+	far := newFakeRelay(t, updatesUpTo(version))
 	c := run(t, times(2), nil, near.address(), far.address())
 	c.wantVersion(t, version)
-	eventually(t, "polls at the nearest relay again", func() bool { return near.count() >= 5 })
+	eventually(t, "polls at the nearest relay after the return", func() bool { return near.count() >= 5 })
 	if far.count() == 0 || c.Status().Relay != near.address() {
-		t.Errorf("found %d polls at the far relay and %s asked now, wanted some and %s", far.count(), c.Status().Relay, near.address())
+		t.Errorf("found %d polls at the far relay and %s as the current one, wanted some and %s", far.count(), c.Status().Relay, near.address())
 	}
 	settled := far.count()
-	more := near.count()
-	eventually(t, "further polls at the nearest relay", func() bool { return near.count() >= more+5 })
+	before := near.count()
+	eventually(t, "further polls at the nearest relay", func() bool { return near.count() >= before+5 })
 	if far.count() != settled {
 		t.Errorf("polls at the far relay: found %d after the return, wanted none", far.count()-settled)
 	}
 }
 
-// An idle connection that a relay shuts is no failure of the relay.
-func TestClientRetriesOnceWhereAnIdleConnectionWasShut(t *testing.T) {
+// A relay that closes an idle connection has not failed.
+func TestClientRetriesAfterIdleConnectionWasClosed(t *testing.T) {
 	version := configuration.NewVersion(1, 7)
-	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
 		if number%2 == 1 {
-			conn, _, err := w.(http.Hijacker).Hijack() // as if shut before the poll came
+			conn, _, err := w.(http.Hijacker).Hijack() // as if closed before the poll arrived
 			if err != nil {
 				t.Error(err)
 				return
@@ -387,113 +391,95 @@
 		}
 		update(w, poll, version)
 	})
-	far := newRelay(t, holding(version))
+	far := newFakeRelay(t, updatesUpTo(version))
 	c := run(t, times(2), nil, near.address(), far.address())
 	c.wantVersion(t, version)
 	eventually(t, "ten polls", func() bool { return near.count() >= 10 })
 	if far.count() > 0 {
 		t.Errorf("polls at the other relay: found %d, wanted none", far.count())
 	}
-	for i, poll := range near.heard() {
+	for i, poll := range near.received() {
 		if retry := i > 0 && i%2 == 0; retry && poll.WaitMS != 0 {
 			t.Errorf("poll %d: found a wait of %d ms, wanted none on a new connection", i, poll.WaitMS)
 		}
 	}
 }
 
-func TestClientReportsRejectionsAsLongAsTheyHold(t *testing.T) {
+func TestClientRepeatsRejections(t *testing.T) {
 	var newest sync.Map
-	bad, good := configuration.NewVersion(1, 1), configuration.NewVersion(1, 2)
-	newest.Store("version", bad)
-	r := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+	rejectedVersion, validVersion := configuration.NewVersion(1, 1), configuration.NewVersion(1, 2)
+	newest.Store("version", rejectedVersion)
+	r := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
 		version, _ := newest.Load("version")
 		update(w, poll, version.(configuration.Version))
 	})
 	reason := "two\nlines" + strings.Repeat("é", configuration.MaxReasonBytes)
-	c := run(t, times(1), func(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
-		if version == bad {
-			return []configuration.Rejection{{Service: "orders", Version: bad, Reason: reason}}
+	c := run(t, times(1), func(_ configuration.Changes, version configuration.Version) []configuration.Rejection {
+		if version == rejectedVersion {
+			return []configuration.Rejection{{Service: "orders", Version: rejectedVersion, Reason: reason}}
 		}
 		return nil
 	}, r.address())
-	c.wantVersion(t, bad)
+	c.wantVersion(t, rejectedVersion)
 	eventually(t, "three polls with the rejection", func() bool { return r.count() >= 4 })
-	for i, poll := range r.heard()[1:4] {
-		want := configuration.TruncateRejections([]configuration.Rejection{{Service: "orders", Version: bad, Reason: reason}})
+	for i, poll := range r.received()[1:4] {
+		want := configuration.TruncateRejections([]configuration.Rejection{{Service: "orders", Version: rejectedVersion, Reason: reason}})
 		if !slices.Equal(poll.Rejected, want) {
 			t.Errorf("poll %d: found rejections %.80v, wanted %.80v", i+1, poll.Rejected, want)
 		}
 	}
-	newest.Store("version", good)
-	c.wantVersion(t, good)
+	newest.Store("version", validVersion)
+	c.wantVersion(t, validVersion)
 	eventually(t, "a poll without rejections", func() bool {
-		polls := r.heard()
-		last := polls[len(polls)-1]
-		return last.Version == good && last.Rejected == nil
+		polls := r.received()
+		return polls[len(polls)-1].Version == validVersion && polls[len(polls)-1].Rejected == nil
 	})
 }
 
-func TestClientLogsAFailingRelayOnce(t *testing.T) {
+func TestClientLogsFailingRelayOnce(t *testing.T) {
 	log := captureLog(t)
-	near := newRelay(t, func(w http.ResponseWriter, _ configuration.Poll, number int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, _ configuration.Poll, number int) {
 		write(w, configuration.PollResponse{Region: "south", ErrorCode: configuration.CodeWrongRegion})
 	})
 	run(t, times(1), nil, near.address())
 	eventually(t, "five polls", func() bool { return near.count() >= 5 })
-	if text := log.String(); strings.Count(text, "a relay fails") != 1 || !strings.Contains(text, `found an answer of \"south\", wanted \"north\"`) {
+	if text := log.String(); strings.Count(text, "configuration relay failed") != 1 || !strings.Contains(text, `found a response of \"south\", wanted \"north\"`) {
 		t.Errorf("log: found %q, wanted one line with the regions", text)
 	}
 }
 
-// The end does not wait for an answer that is to come.
-func TestClientEndsInTheMiddleOfAPoll(t *testing.T) {
-	came := make(chan struct{}, 1)
-	var near *relay
-	near = newRelay(t, func(http.ResponseWriter, configuration.Poll, int) {
-		came <- struct{}{}
+// The end of Run does not wait for a response.
+func TestClientEndsDuringPoll(t *testing.T) {
+	received := make(chan struct{}, 1)
+	var near *fakeRelay
+	near = newFakeRelay(t, func(http.ResponseWriter, configuration.Poll, int) {
+		received <- struct{}{}
 		<-near.ended
 	})
 	long := times(1)
-	long.ResponseTimeout = 10 * hang
-	run(t, long, nil, near.address()) // its end is bounded by hang
-	<-came
+	long.ResponseTimeout = 10 * hangTimeout
+	run(t, long, nil, near.address()) // it has to end within hangTimeout
+	<-received
 }
 
-// captureLog has the log written to lines until the test's end.
-func captureLog(t *testing.T) *lines {
-	log := &lines{}
+// captureLog collects the log until the test's end.
+func captureLog(t *testing.T) *testkit.LogBuffer {
+	t.Helper()
+	log := &testkit.LogBuffer{}
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
 	t.Cleanup(func() { slog.SetDefault(before) })
 	return log
 }
 
-// lines is a log that several goroutines write.
-type lines struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *lines) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *lines) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
-// The services are named once to each relay. From then on their digest stands for them,
-// until the relay does not know it any more.
-func TestServicesAreNamedOnce(t *testing.T) {
+// The services are sent once to each relay. From then on their digest replaces them, until
+// the relay does not know it any more.
+func TestServicesAreSentOnce(t *testing.T) {
 	t.Parallel()
 	services := configuration.Subscription{"orders", "payments"}
-	forgetful := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
-		if number == 2 { // it was restarted, say
-			refuse(w, configuration.CodeUnknownServices)
+	forgetful := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, number int) {
+		if number == 2 { // as after a restart
+			reject(w, configuration.CodeUnknownServices)
 			return
 		}
 		update(w, poll, 1)
@@ -508,10 +494,10 @@
 	}
 	cancel()
 	<-ended
-	for number, poll := range forgetful.heard()[:5] {
-		named := number == 0 || number == 3
-		if named != slices.Equal(poll.Services, services) || named == (poll.ServicesDigest == services.Digest()) {
-			t.Errorf("poll %d: found services %q and digest %d, wanted the services: %v", number, poll.Services, poll.ServicesDigest, named)
+	for number, poll := range forgetful.received()[:5] {
+		sent := number == 0 || number == 3
+		if sent != slices.Equal(poll.Services, services) || sent == (poll.ServicesDigest == services.Digest()) {
+			t.Errorf("poll %d: found services %q and digest %d, wanted the services: %v", number, poll.Services, poll.ServicesDigest, sent)
 		}
 	}
 }
--- a/internal/subscription/connection.go
+++ b/internal/sidecar/configclient/connection.go
@@ -1,13 +1,11 @@
-package subscription
+package configclient
 
 import (
 	"bufio"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
-	"os"
 	"sync"
 	"time"
 
@@ -16,25 +14,22 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// readBufferBytes is what a connection keeps while a poll waits. An answer's header
-// has to fit in.
+// readBufferBytes is the buffer of a connection while a poll waits. The header of a
+// response has to fit into it.
 const readBufferBytes = 2 << 10
 
-// errShut is a connection that ended before the first byte of an answer.
-var errShut = errors.New("the connection was shut without an answer")
-
-// connection is the one connection of a client, on which it makes one exchange at a
-// time. The zero connection is closed; close may be called by any goroutine.
+// connection is the one connection of a client, for one exchange at a time by one
+// goroutine. The zero connection is closed; close may be called by any goroutine.
 type connection struct {
 	dial   func(ctx context.Context, address string) (net.Conn, error) // nil for TCP
-	reader *bufio.Reader                                               // kept over connections
+	reader *bufio.Reader                                               // reused for the next connection
 
-	mu      sync.Mutex
-	conn    net.Conn // nil where it is closed
-	address string   // of conn
+	mu      sync.Mutex // guards the following
+	conn    net.Conn   // nil if it is closed
+	address string     // of conn
 }
 
-// openTo returns the connection where it is open and to address, else nil.
+// openTo returns the open connection to an address; nil if there is none.
 func (c *connection) openTo(address string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,34 +49,34 @@
 	}
 }
 
-// exchange sends a request and reads its answer, all until the deadline. It closes
-// the connection where that can't be used any more.
-func (c *connection) exchange(ctx context.Context, address string, request []byte, deadline time.Time, into *configuration.PollResponse) error {
+// exchange sends a request and decodes its response by the deadline. It closes the
+// connection on an error.
+func (c *connection) exchange(ctx context.Context, address string, request []byte, deadline time.Time, response *configuration.PollResponse) error {
 	conn, err := c.open(ctx, address, deadline)
 	if err != nil {
 		return err
 	}
-	if err = c.converse(conn, request, deadline, into); err != nil {
+	if err = c.roundTrip(conn, request, deadline, response); err != nil {
 		c.close()
 	}
 	return err
 }
 
-// converse makes an exchange on an open connection.
-func (c *connection) converse(conn net.Conn, request []byte, deadline time.Time, into *configuration.PollResponse) error {
+// roundTrip makes an exchange on an open connection.
+func (c *connection) roundTrip(conn net.Conn, request []byte, deadline time.Time, response *configuration.PollResponse) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return fmt.Errorf("connection: %w", err)
 	}
 	if _, err := conn.Write(request); err != nil {
-		return shutOr("sending the poll", err)
+		return connectionError("sending the poll", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return shutOr("waiting for the answer", err)
+		return connectionError("waiting for the response", err)
 	}
-	return c.read(into)
+	return c.read(response)
 }
 
-// open returns the connection to address; a new one where there is none.
+// open returns the open connection to an address, or a new one.
 func (c *connection) open(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
 	if conn := c.openTo(address); conn != nil && c.reader.Buffered() == 0 {
 		return conn, nil
@@ -113,31 +108,24 @@
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{KeepAlive: -1} // polls are frequent enough
+	dialer := net.Dialer{KeepAlive: -1} // polls detect a broken connection
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// read reads an answer whose first byte is there. The buffer for its body is borrowed
-// meanwhile only.
-func (c *connection) read(into *configuration.PollResponse) error {
+// read reads a response whose first byte has arrived. It uses a pooled buffer for the
+// body, so that a waiting client has none.
+func (c *connection) read(decoded *configuration.PollResponse) error {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
 	if err := response.ReadLimitBody(c.reader, configuration.MaxResponseBytes); err != nil {
-		return fmt.Errorf("reading the answer: %w", err)
+		return fmt.Errorf("reading the response: %w", err)
 	}
-	if response.ConnectionClose() || response.Header.ContentLength() == -2 {
+	const untilClose = -2 // fasthttp's length of a body that ends with the connection
+	if response.ConnectionClose() || response.Header.ContentLength() == untilClose {
 		c.close()
 	}
-	if err := json.Unmarshal(response.Body(), into); err != nil {
-		return fmt.Errorf("answer of status %d: %w", response.StatusCode(), err)
+	if err := json.Unmarshal(response.Body(), decoded); err != nil {
+		return fmt.Errorf("response of status %d: %w", response.StatusCode(), err)
 	}
 	return nil
 }
-
-// shutOr tells a connection that was shut from one on which time has run out.
-func shutOr(doing string, err error) error {
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("%s: %w", doing, err)
-	}
-	return fmt.Errorf("%s: %w: %w", doing, errShut, err)
-}
--- a/internal/subscription/poll_test.go
+++ b/internal/sidecar/configclient/encode_test.go
@@ -1,4 +1,4 @@
-package subscription
+package configclient
 
 import (
 	"bufio"
@@ -36,8 +36,8 @@
 	return poll
 }
 
-// The parts that are written by hand have to read as package configuration has them.
-func TestEncoderWritesPollsAsTheyAreRead(t *testing.T) {
+// The encoder's polls are those that package configuration decodes.
+func TestEncoderRoundTrip(t *testing.T) {
 	for _, wanted := range []configuration.Poll{
 		{Region: "north", Subscriber: "n1"},
 		{Region: "north", Subscriber: "n1", Services: configuration.Subscription{"a", `"b"`}, Version: configuration.NewVersion(3, 9), WaitMS: 1500},
@@ -45,7 +45,7 @@
 		{Region: "north", Subscriber: "n1", Version: 1, Rejected: []configuration.Rejection{{Service: "a", Version: 1, Reason: "one\n<two>"}, {Service: "b", Version: 7, Reason: ""}}},
 	} {
 		encoder := newPollEncoder(Settings{Region: wanted.Region, Subscriber: wanted.Subscriber, Services: wanted.Services})
-		for range 2 { // its buffers are used again
+		for range 2 { // its buffers are reused
 			request := encoder.encode("127.0.0.1:1", false, wanted.Version, wanted.Rejected, time.Duration(wanted.WaitMS)*time.Millisecond)
 			if found := decodePoll(t, request); !reflect.DeepEqual(found, wanted) {
 				t.Errorf("found %+v, wanted %+v", found, wanted)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestEncoderKeepsToTheBoundOfAPoll(t *testing.T) {
+func TestEncoderLimitsPolls(t *testing.T) {
 	var rejected []configuration.Rejection
 	for range configuration.MaxServices {
 		rejected = append(rejected, configuration.Rejection{Service: "a", Version: 1, Reason: strings.Repeat("<", configuration.MaxReasonBytes)})
--- a/internal/subscription/format_test.go
+++ b/internal/sidecar/configclient/format_test.go
@@ -1,4 +1,4 @@
-package subscription
+package configclient
 
 import (
 	"bytes"
@@ -62,13 +62,13 @@
 	}
 }
 
-// An answer that a relay of an earlier version wrote reaches whoever applies it.
-func TestRecordedAnswerIsApplied(t *testing.T) {
-	text, err := os.ReadFile("testdata/answer.json")
+// A response that a relay of an earlier version wrote is applied.
+func TestRecordedResponseIsApplied(t *testing.T) {
+	text, err := os.ReadFile("testdata/response.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	near := newRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
+	near := newFakeRelay(t, func(w http.ResponseWriter, poll configuration.Poll, _ int) {
 		if poll.Version != 0 {
 			update(w, poll, poll.Version)
 			return
@@ -79,22 +79,22 @@
 	})
 	applied := make(chan configuration.Changes, 1)
 	c := newClient(Settings{Region: region, Subscriber: "n1", Relays: []string{near.address()}}, times(1),
-		func(taken configuration.Changes, version configuration.Version) []configuration.Rejection {
+		func(changes configuration.Changes, version configuration.Version) []configuration.Rejection {
 			if version != configuration.NewVersion(3, 9) {
 				t.Errorf("found version %v, wanted 3.9", version)
 			}
-			applied <- taken
+			applied <- changes
 			return nil
 		})
 	go c.Run(t.Context())
 	select {
-	case taken := <-applied:
-		got, err := json.Marshal(taken.Updated)
+	case changes := <-applied:
+		got, err := json.Marshal(changes.Updated)
 		want := `[{"service":"mail","version":12884901896,"settings":{"tenants":[{"name":"acme","quota-per-s":120.5}]}}]`
 		if err != nil || string(got) != want {
 			t.Errorf("found %s, %v, wanted %s", got, err, want)
 		}
-	case <-time.After(hang):
+	case <-time.After(hangTimeout):
 		t.Fatal("nothing was applied")
 	}
 }
--- a/internal/subscription/memory_test.go
+++ b/internal/sidecar/configclient/memory_test.go
@@ -1,4 +1,4 @@
-package subscription
+package configclient
 
 import (
 	"bytes"
@@ -15,22 +15,23 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// maxClientBytes is what a client may hold while its poll waits: experiments run
+// maxClientBytes limits the memory of a client while its poll waits: experiments run
 // thousands in a process. 16.6 KB were measured, 20.7 KB with the race detector; the
 // settings and their map are 8 KB of that, the stack 5.4 KB, the read buffer 2 KB.
 const maxClientBytes = 24 << 10
 
-// oneAnswerConn answers its first request and then keeps silent until it is closed.
-type oneAnswerConn struct {
-	net.Conn // nil: only what follows is called
-	answer   io.Reader
-	waits    chan<- struct{} // told once when the second poll waits
+// oneResponseConn responds to its first request only, and blocks further reads until it is
+// closed.
+type oneResponseConn struct {
+	net.Conn // nil: only the methods below are called
+	response io.Reader
+	waits    chan<- struct{} // receives a value when the second poll waits
 	once     sync.Once
 	closed   chan struct{}
 }
 
-func (c *oneAnswerConn) Read(p []byte) (int, error) {
-	if n, err := c.answer.Read(p); err == nil {
+func (c *oneResponseConn) Read(p []byte) (int, error) {
+	if n, err := c.response.Read(p); err == nil {
 		return n, nil
 	}
 	c.waits <- struct{}{}
@@ -38,16 +39,17 @@
 	return 0, io.EOF
 }
 
-func (c *oneAnswerConn) Write(p []byte) (int, error)     { return len(p), nil }
-func (c *oneAnswerConn) SetDeadline(time.Time) error     { return nil }
-func (c *oneAnswerConn) SetReadDeadline(time.Time) error { return nil }
-func (c *oneAnswerConn) Close() error {
+func (c *oneResponseConn) Write(p []byte) (int, error)     { return len(p), nil }
+func (c *oneResponseConn) SetDeadline(time.Time) error     { return nil }
+func (c *oneResponseConn) SetReadDeadline(time.Time) error { return nil }
+func (c *oneResponseConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
 }
 
-// snapshot is an answer with settings of 200 bytes for each service.
+// snapshot returns a response with settings of 200 bytes for each service.
 func snapshot(t *testing.T, services configuration.Subscription) []byte {
+	t.Helper()
 	update := configuration.Update{Version: configuration.NewVersion(1, 1)}
 	for _, service := range services {
 		update.Resources = append(update.Resources, configuration.Resource{Service: service, Version: update.Version, Settings: bytes.Repeat([]byte("1"), 200)})
@@ -59,7 +61,8 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func inUse() int64 {
+// memoryInUse returns the bytes of live objects and of stacks.
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -67,22 +70,22 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-func TestWaitingClientsHoldLittle(t *testing.T) {
+func TestMemoryOfWaitingClients(t *testing.T) {
 	const clients = 500
 	var services configuration.Subscription
 	for i := range 20 {
 		services = append(services, fmt.Sprintf("service-%d", i))
 	}
-	answer := snapshot(t, services)
+	response := snapshot(t, services)
 	ctx, cancel := context.WithCancel(context.Background())
 	waits := make(chan struct{}, clients)
 	settings := Settings{Region: region, Relays: []string{"127.0.0.1:1", "127.0.0.1:2"}, Services: services}
 	settings.Dial = func(context.Context, string) (net.Conn, error) {
-		return &oneAnswerConn{answer: bytes.NewReader(answer), waits: waits, closed: make(chan struct{})}, nil
+		return &oneResponseConn{response: bytes.NewReader(response), waits: waits, closed: make(chan struct{})}, nil
 	}
 	long := times(2)
-	long.ResponseTimeout = 10 * hang
-	before := inUse()
+	long.ResponseTimeout = 10 * hangTimeout
+	before := memoryInUse()
 	var running sync.WaitGroup
 	for i := range clients {
 		settings.Subscriber, settings.Seed = fmt.Sprintf("n%d", i), uint64(i)
@@ -92,14 +95,14 @@
 	for range clients {
 		select {
 		case <-waits:
-		case <-time.After(hang):
-			t.Fatal("found clients that don't wait, wanted all to")
+		case <-time.After(hangTimeout):
+			t.Fatal("not all clients wait for their second poll")
 		}
 	}
-	each := (inUse() - before) / clients
-	t.Logf("%d bytes a client, of which %d are the settings that it holds", each, 200*len(services))
+	each := (memoryInUse() - before) / clients
+	t.Logf("%d bytes per client, of which %d are its settings", each, 200*len(services))
 	if each > maxClientBytes {
-		t.Errorf("found %d bytes a client, wanted %d at most", each, maxClientBytes)
+		t.Errorf("found %d bytes per client, wanted %d at most", each, maxClientBytes)
 	}
 	cancel()
 	running.Wait()
--- a/internal/sidecar/live.go
+++ b/internal/sidecar/live.go
@@ -10,7 +10,7 @@
 	"otterspring/balance"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/operator"
-	"otterspring/internal/subscription"
+	"otterspring/internal/sidecar/configclient"
 )
 
 // liveSettings puts the settings of services in force in a running sidecar. It belongs
@@ -23,7 +23,7 @@
 
 // newControl returns the client that follows the services of the operator's file and
 // has change put in force what they say.
-func newControl(cfg *Config, section *operator.Configuration, change func([]balance.Class, []balance.Tenant) error) *subscription.Client {
+func newControl(cfg *Config, section *operator.Configuration, change func([]balance.Class, []balance.Tenant) error) *configclient.Client {
 	live := &liveSettings{file: cfg.Settings, change: change}
 	for _, service := range section.Services {
 		live.services = append(live.services, serviceState{service: service})
@@ -32,11 +32,11 @@
 	if name == "" {
 		name = cfg.Name
 	}
-	settings := subscription.Settings{
+	settings := configclient.Settings{
 		Region: section.Region, Subscriber: name, Relays: section.Relays, Services: section.Services,
 		Seed: cfg.Seed ^ seedOf(name),
 	}
-	return subscription.New(settings, live.take)
+	return configclient.New(settings, live.take)
 }
 
 // seedOf sets sidecars apart that were given the same seed.
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -329,7 +329,7 @@
 // runsClient tells whether a goroutine of a control client is there.
 func runsClient() bool {
 	stacks := make([]byte, 1<<20)
-	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "subscription.(*Client).Run")
+	return strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "configclient.(*Client).Run")
 }
 
 // Off, nothing of it runs and /up is as it was; an end of the sidecar ends it. Not
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -22,8 +22,8 @@
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
 	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/configclient"
 	"otterspring/internal/sidecar/dispatch"
-	"otterspring/internal/subscription"
 )
 
 // The shares of the descriptors: some for the process itself and discovery,
@@ -49,7 +49,7 @@
 	coap  *coapfront.Front // nil where it is off
 	disc  *discovery.Follower
 	// control follows the configuration of services; nil where it is off.
-	control *subscription.Client
+	control *configclient.Client
 	cfg     Config // as last loaded; only Reload touches it
 	stop    context.CancelFunc
 	finish  atomic.Int64 // bound of the drain, in nanoseconds; 0 for the usual one
