--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -224,7 +224,7 @@
 			last = line
 		}
 		for _, o := range a.State.Operations {
-			if o.ID == id && o.Outcome == "done" {
+			if o.ID == id && o.Outcome == rollout.ResultDone {
 				fmt.Fprintln(out, "done")
 				return nil
 			} else if o.ID == id && o.Outcome != "" {
