--- a/internal/fleet/relay/cluster_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -40,7 +40,7 @@
 	}
 	var member *server.Server
 	if err == nil {
-		member, err = server.Open(file, number, server.Bootstrap, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		member, err = server.Open(ctx, file, number, server.Bootstrap, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	}
 	if err == nil {
 		err = member.Run(ctx)
