--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -9,6 +9,7 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -20,19 +21,19 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// errConflict is a change that was made for another version than the service has.
+// errConflict is a change whose -if-version is not the version of the service.
 var errConflict = errors.New("version conflict")
 
-// Bounds of a call to a council by the config command.
+// Times of the config command's requests to a cluster.
 const (
-	configTryTimeout  = 10 * time.Second // of one question
-	configRetryPause  = 50 * time.Millisecond
-	completionTimeout = 2 * time.Second // of the names for a shell
+	configRequestTimeout = 10 * time.Second // of one attempt
+	configRetryDelay     = 50 * time.Millisecond
+	completionTimeout    = 2 * time.Second // of the service names for a shell
 )
 
-// configOptions are what all verbs of config share.
+// configOptions are the flags that all verbs of config share, and their output.
 type configOptions struct {
-	councilPath string
+	clusterPath string // of the cluster's file
 	asJSON      bool
 	timeout     time.Duration
 	out         io.Writer
@@ -47,102 +48,110 @@
 			"3 the service has another version than -if-version says.",
 		configPut(options), configGet(options), configList(options), configStatus(options))
 	flags := command.PersistentFlags()
-	flags.StringVar(&options.councilPath, "council", "", "the council's file")
+	flags.StringVar(&options.clusterPath, "council", "", "the council's file")
 	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object")
 	flags.DurationVar(&options.timeout, "timeout", 30*time.Second, "after which it could not be done")
 	return command
 }
 
-// configVerb is a verb of config that takes a number of words.
-func (o *configOptions) configVerb(use, short string, words int, do func(ctx context.Context, f *server.Config, words []string) error) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		if len(args) != words {
-			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, c.Name(), plural(len(args), "word", "words"), use)
+// verb returns a verb of config that takes a number of arguments. run gets the cluster's
+// file, and a context that ends with -timeout.
+func (o *configOptions) verb(use, short string, argumentCount int, run func(ctx context.Context, cluster *server.Config, arguments []string) error) *cobra.Command {
+	command := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
+	command.RunE = func(_ *cobra.Command, arguments []string) error {
+		if len(arguments) != argumentCount {
+			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, command.Name(), plural(len(arguments), "word", "words"), use)
 		}
-		if o.councilPath == "" {
-			return fmt.Errorf("%w: config %s: found no -council, wanted the council's file", errUsage, c.Name())
+		if o.clusterPath == "" {
+			return fmt.Errorf("%w: config %s: found no -council, wanted the council's file", errUsage, command.Name())
 		}
 		if o.timeout <= 0 {
-			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, c.Name(), o.timeout)
+			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, command.Name(), o.timeout)
 		}
-		f, err := server.LoadConfig(o.councilPath)
+		cluster, err := server.LoadConfig(o.clusterPath)
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 		defer cancel()
-		return do(ctx, f, args)
+		return run(ctx, cluster, arguments)
 	}
-	return c
+	return command
 }
 
-// ofService is a verb of config that takes the name of a service, which shells complete.
-func (o *configOptions) ofService(use, short string, do func(ctx context.Context, f *server.Config, service string) error) *cobra.Command {
-	c := o.configVerb(use, short, 1, func(ctx context.Context, f *server.Config, words []string) error { return do(ctx, f, words[0]) })
-	c.ValidArgsFunction = func(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
-		if len(args) > 0 {
+// serviceVerb returns a verb of config that takes the name of a service, which shells
+// complete.
+func (o *configOptions) serviceVerb(use, short string, run func(ctx context.Context, cluster *server.Config, service string) error) *cobra.Command {
+	command := o.verb(use, short, 1, func(ctx context.Context, cluster *server.Config, arguments []string) error {
+		return run(ctx, cluster, arguments[0])
+	})
+	command.ValidArgsFunction = func(_ *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
+		if len(arguments) > 0 {
 			return nil, cobra.ShellCompDirectiveNoFileComp
 		}
 		return o.serviceNames(), cobra.ShellCompDirectiveNoFileComp
 	}
-	return c
+	return command
 }
 
-// serviceNames are the services that a council knows; none where it does not answer.
+// serviceNames returns the services of a cluster; none if it does not respond.
 func (o *configOptions) serviceNames() []string {
-	f, err := server.LoadConfig(o.councilPath)
+	cluster, err := server.LoadConfig(o.clusterPath)
 	if err != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
 	defer cancel()
-	a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
+	response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration})
 	if err != nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(a.Services))
+	return slices.Sorted(maps.Keys(response.Services))
 }
 
-// askConfiguration asks a council what may be asked twice, until it answers or ctx
-// ends. An answer that is not known is asked for again.
-func askConfiguration(ctx context.Context, f *server.Config, q client.Request) (*client.Response, error) {
-	client := client.NewClient(f.Name, f.Addresses())
-	defer client.Close()
+// requestConfiguration sends an idempotent request to a cluster and retries it until
+// there is a response or ctx ends, also when its outcome is unknown. It returns
+// errConflict, the text of a rejection, or a *noResponseError.
+func requestConfiguration(ctx context.Context, cluster *server.Config, request client.Request) (*client.Response, error) {
+	caller := client.NewClient(cluster.Name, cluster.Addresses())
+	defer caller.Close()
 	for {
-		tryCtx, cancel := context.WithTimeout(ctx, configTryTimeout)
-		a, err := client.Do(tryCtx, q)
+		attempt, cancel := context.WithTimeout(ctx, configRequestTimeout)
+		response, err := caller.Do(attempt, request)
 		cancel()
 		switch {
-		case err == nil && a.Conflict:
-			return nil, fmt.Errorf("%w: %s", errConflict, a.Rejection)
-		case err == nil && a.Rejection != "":
-			return nil, errors.New(a.Rejection)
+		case err == nil && response.Conflict:
+			return nil, fmt.Errorf("%w: %s", errConflict, response.Rejection)
+		case err == nil && response.Rejection != "":
+			return nil, errors.New(response.Rejection)
 		case err == nil:
-			return a, nil
+			return response, nil
 		}
 		select {
 		case <-ctx.Done():
-			return nil, &unansweredError{err}
-		case <-time.After(configRetryPause):
+			return nil, &noResponseError{err}
+		case <-time.After(configRetryDelay):
 		}
 	}
 }
 
-// unansweredError is a question without an answer within the time that there was.
-type unansweredError struct{ last error }
+// noResponseError is a request without a response within -timeout. It wraps the error of
+// the last attempt.
+type noResponseError struct{ attempt error }
 
-func (e *unansweredError) Error() string { return e.last.Error() }
+func (e *noResponseError) Error() string { return e.attempt.Error() }
+
+func (e *noResponseError) Unwrap() error { return e.attempt }
 
 // printJSON prints one JSON object, indented.
-func (o *configOptions) printJSON(v any) error {
+func (o *configOptions) printJSON(value any) error {
 	encoder := json.NewEncoder(o.out)
 	encoder.SetEscapeHTML(false)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(v)
+	return encoder.Encode(value)
 }
 
-// putResult is what -json prints of a change that was applied.
+// putResult is the output of put with -json.
 type putResult struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -150,37 +159,37 @@
 }
 
 // configPut changes a service's settings.
-func configPut(o *configOptions) *cobra.Command {
+func configPut(options *configOptions) *cobra.Command {
 	var ifVersion, id string
-	c := o.configVerb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, f *server.Config, words []string) error {
-		change, err := newChange(words[0], id, ifVersion)
+	command := options.verb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, cluster *server.Config, arguments []string) error {
+		change, err := newChange(arguments[0], id, ifVersion)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ChangeConfiguration, Change: change})
-		var unanswered *unansweredError
-		if errors.As(err, &unanswered) {
-			return fmt.Errorf("service %s: not known whether it was changed: %w; the same with -id %s tells, and changes it once", change.Service, err, change.ID)
+		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ChangeConfiguration, Change: change})
+		if _, ok := errors.AsType[*noResponseError](err); ok {
+			return fmt.Errorf("service %s: not known whether it was changed: %w; a retry with -id %s shows it, and changes it once at most", change.Service, err, change.ID)
 		}
 		if err != nil {
 			return err
 		}
-		result := putResult{Service: change.Service, Version: a.Resource.Version.String(), ID: change.ID}
-		if o.asJSON {
-			return o.printJSON(result)
+		result := putResult{Service: change.Service, Version: response.Resource.Version.String(), ID: change.ID}
+		if options.asJSON {
+			return options.printJSON(result)
 		}
-		_, err = fmt.Fprintf(o.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
+		_, err = fmt.Fprintf(options.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
 		return err
 	})
-	c.Flags().StringVar(&ifVersion, "if-version", "", "the version that the service has to have, SPACE.NUMBER; 0 creates it; empty for any")
-	c.Flags().StringVar(&id, "id", "", "the change's id, to repeat one by hand: one id is applied once; empty for a new one")
-	c.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+	command.Flags().StringVar(&ifVersion, "if-version", "", "the version that the service has to have, SPACE.NUMBER; 0 creates it; empty for any")
+	command.Flags().StringVar(&id, "id", "", "the change's id, to repeat one by hand: one id is applied once; empty for a new one")
+	command.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return []string{"toml"}, cobra.ShellCompDirectiveFilterFileExt
 	}
-	return c
+	return command
 }
 
-// newChange makes a change of a file and the flags of put.
+// newChange returns the change of a service's file and the flags of put; an empty id is
+// replaced by a random one.
 func newChange(path, id, ifVersion string) (*configuration.Change, error) {
 	change := &configuration.Change{ID: id}
 	if ifVersion != "" {
@@ -204,62 +213,64 @@
 	return change, nil
 }
 
-// getResult is what -json prints of a service.
+// getResult is the output of get with -json.
 type getResult struct {
 	Service  string          `json:"service"`
 	Version  string          `json:"version"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// configGet prints a service's settings as a file that put takes.
-func configGet(o *configOptions) *cobra.Command {
-	return o.ofService("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, f *server.Config, service string) error {
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
+// configGet prints a service's settings as a file for put.
+func configGet(options *configOptions) *cobra.Command {
+	return options.serviceVerb("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, cluster *server.Config, service string) error {
+		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
-		resource := a.Resource
-		if o.asJSON {
-			return o.printJSON(getResult{Service: resource.Service, Version: resource.Version.String(), Settings: resource.Settings})
+		resource := response.Resource
+		if options.asJSON {
+			return options.printJSON(getResult{Service: resource.Service, Version: resource.Version.String(), Settings: resource.Settings})
 		}
 		text, err := servicefile.Encode(&servicefile.File{Service: resource.Service, Settings: resource.Settings})
 		if err != nil {
 			return fmt.Errorf("service %s: %w", service, err)
 		}
-		_, err = fmt.Fprintf(o.out, "# version %s\n%s", resource.Version, text)
+		_, err = fmt.Fprintf(options.out, "# version %s\n%s", resource.Version, text)
 		return err
 	})
 }
 
-// listedService is what -json prints of each service.
+// listedService is one service in the output of list with -json.
 type listedService struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 }
 
-// listResult is what -json prints of all services.
+// listResult is the output of list with -json.
 type listResult struct {
 	Services []listedService `json:"services"`
 }
 
-// configList prints the services of a council.
-func configList(o *configOptions) *cobra.Command {
-	return o.configVerb("list", "print all services with their versions", 0, func(ctx context.Context, f *server.Config, _ []string) error {
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration})
+// configList prints the services of a cluster.
+func configList(options *configOptions) *cobra.Command {
+	return options.verb("list", "print all services with their versions", 0, func(ctx context.Context, cluster *server.Config, _ []string) error {
+		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration})
 		if err != nil {
 			return err
 		}
 		result := listResult{Services: []listedService{}}
-		for _, name := range slices.Sorted(maps.Keys(a.Services)) {
-			result.Services = append(result.Services, listedService{Service: name, Version: a.Services[name].String()})
+		for _, name := range slices.Sorted(maps.Keys(response.Services)) {
+			result.Services = append(result.Services, listedService{Service: name, Version: response.Services[name].String()})
 		}
-		if o.asJSON {
-			return o.printJSON(result)
+		if options.asJSON {
+			return options.printJSON(result)
 		}
+		var text strings.Builder
 		for _, service := range result.Services {
-			fmt.Fprintf(o.out, "%-32s %s\n", service.Service, service.Version)
+			fmt.Fprintf(&text, "%-32s %s\n", service.Service, service.Version)
 		}
-		_, err = fmt.Fprintln(o.out, plural(len(result.Services), "service", "services"))
+		fmt.Fprintln(&text, plural(len(result.Services), "service", "services"))
+		_, err = io.WriteString(options.out, text.String())
 		return err
 	})
 }
--- a/cmd/otterspring/config_status.go
+++ b/cmd/otterspring/config_status.go
@@ -19,75 +19,79 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// Bounds of the status of a service.
+// Limits of the status of a service.
 const (
-	maxRelays         = 64
-	relayTimeout      = 5 * time.Second  // of one relay's answer
-	silentAfter       = 10 * time.Second // of a subscriber: several polls were missed
-	maxNamedOfAKind   = 20               // subscribers in the text; JSON has all
-	maxRefusalExcerpt = 120              // bytes of a relay's refusal in the text
+	maxRelays           = 64
+	relayRequestTimeout = 5 * time.Second  // of one relay
+	inactiveAfter       = 10 * time.Second // since a subscriber's last poll: it has missed several
+	maxPrintedPerState  = 20               // subscribers in the text; -json has all
+	maxErrorExcerpt     = 120              // bytes of a relay's invalid response in an error
 )
 
-// relayAnswer is what one relay says.
-type relayAnswer struct {
+// relayResult is the state of one relay.
+type relayResult struct {
 	Address     string `json:"address"`
 	Version     string `json:"version,omitempty"`
 	AgeMS       int64  `json:"age_ms"`
 	Subscribers int    `json:"subscribers"`
-	Error       string `json:"error,omitempty"` // why there is no answer; empty for one
+	Error       string `json:"error,omitempty"` // empty if the relay responded
 
-	answer *configuration.StatusResponse
+	response *configuration.StatusResponse // nil with Error
 }
 
-// subscriberState is how a subscriber stands to a service.
+// subscriberState is whether a subscriber has applied a service's newest version.
 type subscriberState string
 
 const (
-	stateInForce  subscriberState = "in_force"
+	stateApplied  subscriberState = "in_force"
 	stateRejected subscriberState = "rejected"
 	stateBehind   subscriberState = "behind"
 )
 
-// subscriberLine is one subscriber of a service.
-type subscriberLine struct {
-	Subscriber string          `json:"subscriber"`
-	State      subscriberState `json:"state"`
-	Version    string          `json:"version"`          // of the region, that it has taken
-	Reason     string          `json:"reason,omitempty"` // of a rejection
-	SilentMS   int64           `json:"silent_ms"`
+// subscriberResult is the state of one subscriber for a service.
+type subscriberResult struct {
+	Subscriber      string          `json:"subscriber"`
+	State           subscriberState `json:"state"`
+	Version         string          `json:"version"`          // of the region, that it has acknowledged
+	Reason          string          `json:"reason,omitempty"` // of a rejection
+	SinceLastPollMS int64           `json:"silent_ms"`
 }
 
-func (l *subscriberLine) silent() time.Duration { return time.Duration(l.SilentMS) * time.Millisecond }
+func (s *subscriberResult) sinceLastPoll() time.Duration {
+	return time.Duration(s.SinceLastPollMS) * time.Millisecond
+}
 
-// statusResult is how the subscribers of all relays stand to a service.
+// statusResult is the output of status with -json: the subscribers of all relays for a
+// service.
 type statusResult struct {
-	Service     string           `json:"service"`
-	Version     string           `json:"version"` // of the service's last change
-	InForce     int              `json:"in_force"`
-	Rejected    int              `json:"rejected"`
-	Behind      int              `json:"behind"`
-	Silent      int              `json:"silent"` // of the above, not heard of lately
-	Relays      []relayAnswer    `json:"relays"`
-	Subscribers []subscriberLine `json:"subscribers"`
+	Service     string             `json:"service"`
+	Version     string             `json:"version"` // of the service's last change
+	Applied     int                `json:"in_force"`
+	Rejected    int                `json:"rejected"`
+	Behind      int                `json:"behind"`
+	Inactive    int                `json:"silent"` // of the above, without a poll for inactiveAfter
+	Relays      []relayResult      `json:"relays"`
+	Subscribers []subscriberResult `json:"subscribers"`
 }
 
-// configStatus tells where a service's settings are in force.
-func configStatus(o *configOptions) *cobra.Command {
+// configStatus prints where a service's settings are applied. It fails if a relay does not
+// respond.
+func configStatus(options *configOptions) *cobra.Command {
 	var relays string
-	c := o.ofService("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, f *server.Config, service string) error {
+	command := options.serviceVerb("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, cluster *server.Config, service string) error {
 		addresses, err := relayAddresses(relays)
 		if err != nil {
 			return err
 		}
-		a, err := askConfiguration(ctx, f, client.Request{Kind: client.ReadConfiguration, Service: service})
+		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
-		result := statusOf(a.Resource, askRelays(ctx, f.Name, addresses, service))
-		if o.asJSON {
-			err = o.printJSON(result)
+		result := newStatusResult(response.Resource, fetchAllStatus(ctx, cluster.Name, addresses, service))
+		if options.asJSON {
+			err = options.printJSON(result)
 		} else {
-			err = printStatus(o.out, result)
+			err = printStatus(options.out, result)
 		}
 		if err != nil {
 			return err
@@ -99,11 +103,11 @@
 		}
 		return nil
 	})
-	c.Flags().StringVar(&relays, "relays", "", "addresses of the relays, parted by commas")
-	return c
+	command.Flags().StringVar(&relays, "relays", "", "addresses of the relays, parted by commas")
+	return command
 }
 
-// relayAddresses reads the flag -relays.
+// relayAddresses parses the flag -relays.
 func relayAddresses(list string) ([]string, error) {
 	addresses := strings.Split(list, ",")
 	if list == "" || len(addresses) > maxRelays {
@@ -122,41 +126,42 @@
 	return addresses, nil
 }
 
-// askRelays asks all relays of a region at a time.
-func askRelays(ctx context.Context, region string, addresses []string, service string) []relayAnswer {
-	all := make([]relayAnswer, len(addresses))
-	var asked sync.WaitGroup
+// fetchAllStatus fetches the status of all relays of a region concurrently, in the order of
+// their addresses.
+func fetchAllStatus(ctx context.Context, region string, addresses []string, service string) []relayResult {
+	all := make([]relayResult, len(addresses))
+	var fetching sync.WaitGroup
 	for i, address := range addresses {
-		asked.Go(func() { all[i] = askRelay(ctx, region, address, service) })
+		fetching.Go(func() { all[i] = fetchRelayStatus(ctx, region, address, service) })
 	}
-	asked.Wait()
+	fetching.Wait()
 	return all
 }
 
-func askRelay(ctx context.Context, region, address, service string) relayAnswer {
-	status := relayAnswer{Address: address}
-	answer, err := fetchStatus(ctx, address, service)
-	if err == nil && answer.Region != region {
-		err = fmt.Errorf("found a relay of region %q, wanted %q", answer.Region, region)
+func fetchRelayStatus(ctx context.Context, region, address, service string) relayResult {
+	result := relayResult{Address: address}
+	response, err := fetchStatusResponse(ctx, address, service)
+	if err == nil && response.Region != region {
+		err = fmt.Errorf("found a relay of region %q, wanted %q", response.Region, region)
 	}
 	if err != nil {
-		status.Error = strings.ReplaceAll(err.Error(), "\n", " ")
-		return status
+		result.Error = strings.ReplaceAll(err.Error(), "\n", " ")
+		return result
 	}
-	status.answer = answer
-	status.Version, status.AgeMS, status.Subscribers = answer.Version.String(), answer.AgeMS, len(answer.Subscribers)
-	return status
+	result.response = response
+	result.Version, result.AgeMS, result.Subscribers = response.Version.String(), response.AgeMS, len(response.Subscribers)
+	return result
 }
 
-func fetchStatus(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+func fetchStatusResponse(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayRequestTimeout)
 	defer cancel()
 	query := url.Values{configuration.StatusParameter: {service}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+configuration.StatusPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
-	request.Close = true // asked once
+	request.Close = true // the only request
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
@@ -167,95 +172,95 @@
 		return nil, err
 	}
 	if len(text) > configuration.MaxStatusResponseBytes {
-		return nil, fmt.Errorf("found an answer of more than %d bytes", configuration.MaxStatusResponseBytes)
+		return nil, fmt.Errorf("found a response of more than %d bytes", configuration.MaxStatusResponseBytes)
 	}
-	answer := &configuration.StatusResponse{}
-	if err := json.Unmarshal(text, answer); response.StatusCode != http.StatusOK || err != nil {
-		return nil, fmt.Errorf("found status %d and %q, wanted an answer in JSON", response.StatusCode, text[:min(len(text), maxRefusalExcerpt)])
+	status := &configuration.StatusResponse{}
+	if err := json.Unmarshal(text, status); response.StatusCode != http.StatusOK || err != nil {
+		return nil, fmt.Errorf("found status %d and %q, wanted a response in JSON", response.StatusCode, text[:min(len(text), maxErrorExcerpt)])
 	}
-	return answer, nil
+	return status, nil
 }
 
-// statusOf counts how the subscribers stand to a service's newest version.
-func statusOf(resource *configuration.Resource, relays []relayAnswer) statusResult {
-	result := statusResult{Service: resource.Service, Version: resource.Version.String(), Relays: relays, Subscribers: []subscriberLine{}}
-	var said [][]configuration.SubscriberStatus
+// newStatusResult compares the subscribers' versions with a service's newest one.
+func newStatusResult(resource *configuration.Resource, relays []relayResult) statusResult {
+	result := statusResult{Service: resource.Service, Version: resource.Version.String(), Relays: relays, Subscribers: []subscriberResult{}}
+	var reports [][]configuration.SubscriberStatus
 	for _, relay := range relays {
-		if relay.answer != nil {
-			said = append(said, relay.answer.Subscribers)
+		if relay.response != nil {
+			reports = append(reports, relay.response.Subscribers)
 		}
 	}
-	for _, subscriber := range configuration.MergeStatus(said...) {
-		line := subscriberLine{Subscriber: subscriber.Subscriber, State: stateInForce, Version: subscriber.Version.String(), SilentMS: subscriber.SinceLastPollMS}
+	for _, subscriber := range configuration.MergeStatus(reports...) {
+		state := subscriberResult{Subscriber: subscriber.Subscriber, State: stateApplied, Version: subscriber.Version.String(), SinceLastPollMS: subscriber.SinceLastPollMS}
 		switch {
 		case subscriber.Version < resource.Version:
-			line.State = stateBehind
+			state.State = stateBehind
 			result.Behind++
 		case subscriber.RejectedVersion >= resource.Version:
-			line.State, line.Reason = stateRejected, subscriber.Reason
+			state.State, state.Reason = stateRejected, subscriber.Reason
 			result.Rejected++
 		default:
-			result.InForce++
+			result.Applied++
 		}
-		if line.silent() > silentAfter {
-			result.Silent++
+		if state.sinceLastPoll() > inactiveAfter {
+			result.Inactive++
 		}
-		result.Subscribers = append(result.Subscribers, line)
+		result.Subscribers = append(result.Subscribers, state)
 	}
 	return result
 }
 
-// printStatus prints a status for a person.
+// printStatus prints a status as text.
 func printStatus(out io.Writer, result statusResult) error {
-	var b strings.Builder
+	var text strings.Builder
 	for _, relay := range result.Relays {
 		if relay.Error != "" {
-			fmt.Fprintf(&b, "relay %s: no answer: %s\n", relay.Address, relay.Error)
+			fmt.Fprintf(&text, "relay %s: no answer: %s\n", relay.Address, relay.Error)
 			continue
 		}
 		age := time.Duration(relay.AgeMS) * time.Millisecond
-		fmt.Fprintf(&b, "relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
+		fmt.Fprintf(&text, "relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
 	}
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.State != stateRejected {
+	printState(&text, result.Subscribers, func(s *subscriberResult) string {
+		if s.State != stateRejected {
 			return ""
 		}
-		return fmt.Sprintf("rejected by %s: %s", l.Subscriber, oneLine(l.Reason))
+		return fmt.Sprintf("rejected by %s: %s", s.Subscriber, oneLine(s.Reason))
 	})
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.State != stateBehind {
+	printState(&text, result.Subscribers, func(s *subscriberResult) string {
+		if s.State != stateBehind {
 			return ""
 		}
-		return fmt.Sprintf("behind: %s at version %s", l.Subscriber, l.Version)
+		return fmt.Sprintf("behind: %s at version %s", s.Subscriber, s.Version)
 	})
-	printKind(&b, result.Subscribers, func(l *subscriberLine) string {
-		if l.silent() <= silentAfter {
+	printState(&text, result.Subscribers, func(s *subscriberResult) string {
+		if s.sinceLastPoll() <= inactiveAfter {
 			return ""
 		}
-		return fmt.Sprintf("silent: %s for %v", l.Subscriber, l.silent().Round(time.Second))
+		return fmt.Sprintf("silent: %s for %v", s.Subscriber, s.sinceLastPoll().Round(time.Second))
 	})
-	fmt.Fprintf(&b, "%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
-		result.Service, result.Version, result.InForce, len(result.Subscribers), result.Rejected, result.Behind, result.Silent)
-	_, err := io.WriteString(out, b.String())
+	fmt.Fprintf(&text, "%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
+		result.Service, result.Version, result.Applied, len(result.Subscribers), result.Rejected, result.Behind, result.Inactive)
+	_, err := io.WriteString(out, text.String())
 	return err
 }
 
-// printKind prints the lines of the subscribers that have one, the first of them.
-func printKind(b *strings.Builder, all []subscriberLine, word func(*subscriberLine) string) {
+// printState prints the lines of the subscribers that have one, maxPrintedPerState at most.
+func printState(text *strings.Builder, all []subscriberResult, format func(*subscriberResult) string) {
 	found := 0
 	for i := range all {
-		line := word(&all[i])
+		line := format(&all[i])
 		if line == "" {
 			continue
 		}
-		if found++; found <= maxNamedOfAKind {
-			b.WriteString(line + "\n")
+		if found++; found <= maxPrintedPerState {
+			text.WriteString(line + "\n")
 		}
 	}
-	if found > maxNamedOfAKind {
-		fmt.Fprintf(b, "... and %d more (-json has all)\n", found-maxNamedOfAKind)
+	if found > maxPrintedPerState {
+		fmt.Fprintf(text, "... and %d more (-json has all)\n", found-maxPrintedPerState)
 	}
 }
 
-// oneLine keeps what others wrote from breaking a line.
+// oneLine returns a text without line breaks.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -12,20 +11,16 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/fleet/coordination/server"
-	"otterspring/internal/inject"
 )
 
-// patience detects a hang; nothing is measured by it.
-const patience = 60 * time.Second
+// hangTimeout is how long a test waits for a condition before it fails.
+const hangTimeout = 60 * time.Second
 
 // programFolder is where faultyProgram builds; TestMain removes it.
 var programFolder string
@@ -36,12 +31,15 @@
 	}
 	code := m.Run()
 	if programFolder != "" {
-		os.RemoveAll(programFolder)
+		if err := os.RemoveAll(programFolder); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+		}
 	}
 	os.Exit(code)
 }
 
-// faultyProgram is otterspring with faults compiled in, under the race detector.
+// faultyProgram returns the path of otterspring built with injected faults and the race
+// detector.
 var faultyProgram = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "otterspring")
 	if err != nil {
@@ -51,143 +49,13 @@
 	command := exec.Command("go", "build", "-race", "-tags", "faults", "-o", folder+"/", "./cmd/otterspring")
 	command.Dir = "../.."
 	if text, err := command.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%v: %s", err, text)
+		return "", fmt.Errorf("%w: %s", err, text)
 	}
 	return filepath.Join(folder, "otterspring"), nil
 })
 
-var testIPs atomic.Int32
-
-// region is a council of three processes.
-type region struct {
-	t       *testing.T
-	folder  string
-	ip      string
-	path    string // of the council's file
-	file    *server.Config
-	members map[int]*exec.Cmd
-	taken   map[string]bool // addresses that freeAddress has returned
-}
-
-func newRegion(t *testing.T) *region {
-	t.Helper()
-	r := &region{t: t, folder: t.TempDir(), members: map[int]*exec.Cmd{}, taken: map[string]bool{}}
-	r.ip = fmt.Sprintf("127.%d.%d.%d", 110+os.Getpid()%40, 1+os.Getpid()/40%250, 1+testIPs.Add(1))
-	r.path = filepath.Join(r.folder, "council.toml")
-	text := "name = \"west\"\ndirectory = \"state\"\ntick = \"20ms\"\nlease = \"1s\"\nmargin = \"100ms\"\n"
-	for i := 1; i <= 3; i++ {
-		text += fmt.Sprintf("[[member]]\nnumber = %d\naddress = %q\n", i, r.freeAddress())
-	}
-	r.write(r.path, text)
-	var err error
-	if r.file, err = server.LoadConfig(r.path); err != nil {
-		t.Fatal(err)
-	}
-	for i := 1; i <= 3; i++ {
-		r.members[i] = r.start(fmt.Sprintf("member-%d", i), "council", "run", "-member", fmt.Sprint(i), "-new", r.path)
-	}
-	r.awaitAble()
-	return r
-}
-
-// freeAddress is one that nobody listens on, another each time.
-func (r *region) freeAddress() string {
-	r.t.Helper()
-	for {
-		address := freePort(r.t, r.ip)
-		if !r.taken[address] {
-			r.taken[address] = true
-			return address
-		}
-	}
-}
-
-func (r *region) write(path, text string) {
-	r.t.Helper()
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-// start runs otterspring as a process, whose faults are kept under its role.
-func (r *region) start(role string, args ...string) *exec.Cmd {
-	r.t.Helper()
-	program, err := faultyProgram()
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	log, err := os.Create(filepath.Join(r.folder, role+".log"))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	defer log.Close()
-	c := exec.Command(program, args...)
-	c.Env = append(os.Environ(), inject.Env+"="+r.folder, inject.Role+"="+role)
-	c.Stdout, c.Stderr = log, log
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
-	if err := c.Start(); err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() {
-		c.Process.Kill()
-		c.Wait()
-		if text, _ := os.ReadFile(log.Name()); r.t.Failed() {
-			r.t.Logf("%s: %s", role, text)
-		}
-	})
-	return c
-}
-
-// ask asks the council until it answers.
-func (r *region) ask(q client.Request) *client.Response {
-	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	defer cancel()
-	a, err := askConfiguration(ctx, r.file, q)
-	if err != nil {
-		r.t.Fatalf("%+v: %v", q, err)
-	}
-	return a
-}
-
-// awaitAble awaits that all members can apply changes.
-func (r *region) awaitAble() {
-	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r.ask(client.Request{Kind: client.ReadState}).State.AllSupport(coordination.StateVersion, []uint64{1, 2, 3}) {
-			return
-		}
-	}
-	r.t.Fatal("members can't apply changes")
-}
-
-// config runs a verb of `otterspring config` and returns its exit code and what it said.
-func (r *region) config(args ...string) (code int, out, errw string) {
-	var stdout, stderr bytes.Buffer
-	code = run(append([]string{"config", "-council", r.path}, args...), &stdout, &stderr)
-	return code, stdout.String(), stderr.String()
-}
-
-// put changes a service and returns the new version.
-func (r *region) put(args ...string) string {
-	r.t.Helper()
-	code, out, errw := r.config(append([]string{"put", "-json"}, args...)...)
-	var result putResult
-	if err := json.Unmarshal([]byte(out), &result); code != exitDone || err != nil {
-		r.t.Fatalf("put %v: exit code %d: %s%s", args, code, out, errw)
-	}
-	return result.Version
-}
-
-// settingsFile writes the settings of a service with one tenant.
-func (r *region) settingsFile(name, service, tenant string) string {
-	path := filepath.Join(r.folder, name)
-	r.write(path, fmt.Sprintf("service = %q\n[[tenant]]\nname = %q\nquota_per_s = 5\n", service, tenant))
-	return path
-}
-
-// A service is created, read as a file, changed by that, listed and completed; each
-// refusal is one line with its exit code, and no entry comes of it.
+// A service is created, read as a file, changed by that file, listed and completed. Each
+// rejection is one line with its exit code, and adds no entry to the log.
 func TestConfigVerbs(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
@@ -206,19 +74,19 @@
 		t.Errorf("second version %s, wanted 1.2", second)
 	}
 	r.put("-if-version", "0", "-id", "by-hand", r.settingsFile("post.toml", "post", "acme"))
-	if again := r.put("-if-version", "0", "-id", "by-hand", r.settingsFile("post.toml", "post", "acme")); again != "1.3" {
-		t.Errorf("the same id again: version %s, wanted 1.3", again)
+	if retried := r.put("-if-version", "0", "-id", "by-hand", r.settingsFile("post.toml", "post", "acme")); retried != "1.3" {
+		t.Errorf("the same ID again: version %s, wanted 1.3", retried)
 	}
-	bad := filepath.Join(r.folder, "bad.toml")
-	r.write(bad, "service = \"mail\"\n[[tenant]]\nname = \"acme\"\nquota_per_s = -1\n")
-	roll := filepath.Join(r.folder, "roll.toml")
-	r.write(roll, "service = \"mail\"\n[[class]]\nname = \"bulk\"\ndeadline = \"1s\"\n")
+	invalid := filepath.Join(r.folder, "bad.toml")
+	r.write(invalid, "service = \"mail\"\n[[tenant]]\nname = \"acme\"\nquota_per_s = -1\n")
+	restart := filepath.Join(r.folder, "roll.toml")
+	r.write(restart, "service = \"mail\"\n[[class]]\nname = \"bulk\"\ndeadline = \"1s\"\n")
 	unknown := filepath.Join(r.folder, "unknown.toml")
 	r.write(unknown, "service = \"mail\"\nshares = 1\n")
 	large := filepath.Join(r.folder, "large.toml")
 	r.write(large, "service = \"mail\"\n"+largeTenants())
 
-	before := r.ask(client.Request{Kind: client.ReadState})
+	before := r.request(client.Request{Kind: client.ReadState})
 	for _, test := range []struct {
 		args []string
 		code int
@@ -227,8 +95,8 @@
 		{[]string{"put", "-if-version", "1.1", mail}, exitConflict, "service mail: found version 1.2, wanted 1.1"},
 		{[]string{"put", "-if-version", "0", mail}, exitConflict, "service mail: found version 1.2, wanted 0.0"},
 		{[]string{"put", r.settingsFile("none.toml", "none", "x")}, exitFailed, "service none: found no such service"},
-		{[]string{"put", bad}, exitFailed, "bad.toml:4: tenant[1].quota_per_s: found -1, wanted 0 to 1e9"},
-		{[]string{"put", roll}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart"},
+		{[]string{"put", invalid}, exitFailed, "bad.toml:4: tenant[1].quota_per_s: found -1, wanted 0 to 1e9"},
+		{[]string{"put", restart}, exitFailed, "roll.toml:4: class[1].deadline: found a key that is not taken here, wanted it in the sidecars' files, with a rolling restart"},
 		{[]string{"put", unknown}, exitFailed, "unknown.toml:2: shares: found a key that is not known"},
 		{[]string{"put", large}, exitFailed, "wanted 8192 at most"},
 		{[]string{"put", filepath.Join(r.folder, "absent.toml")}, exitFailed, "no such file"},
@@ -248,8 +116,8 @@
 			t.Errorf("%v: exit code %d, wanted %d with %q in one line: %s%s", test.args, code, test.code, test.want, out, errw)
 		}
 	}
-	if after := r.ask(client.Request{Kind: client.ReadState}); after.Term == before.Term && after.Index != before.Index {
-		t.Errorf("%d entries after %d: something was agreed on", after.Index, before.Index)
+	if after := r.request(client.Request{Kind: client.ReadState}); after.Term == before.Term && after.Index != before.Index {
+		t.Errorf("%d entries after %d: the rejected changes added entries", after.Index, before.Index)
 	}
 
 	if code, out, _ := r.config("list"); code != exitDone || !strings.Contains(out, "mail") || !strings.Contains(out, "1.2") || !strings.Contains(out, "2 services") {
@@ -272,12 +140,12 @@
 	}
 	var out, errw bytes.Buffer
 	if code := run([]string{"config", "list"}, &out, &errw); code != exitUsage || !strings.Contains(errw.String(), "found no -council") {
-		t.Errorf("without a council: %d: %s", code, errw.String())
+		t.Errorf("without -council: %d: %s", code, errw.String())
 	}
 }
 
-// largeTenants are within the bounds of their number and names, and beyond that of
-// their bytes.
+// largeTenants returns tenants within the limits of their number and names, which exceed
+// the limit of their bytes.
 func largeTenants() string {
 	var b strings.Builder
 	for i := range configuration.MaxTenants {
@@ -286,66 +154,67 @@
 	return b.String()
 }
 
-// The leader is killed when it has stored a change, or has decided on the answer to
-// it, and told nobody: put goes on by itself, and the change is applied once.
-func TestConfigPutSurvivesTheLeader(t *testing.T) {
+// The leader is killed after it has stored a change, or before it sends the response: put
+// retries, and the change is applied once.
+func TestConfigPutSurvivesLeaderFailure(t *testing.T) {
 	for _, point := range []string{"council-stored", "council-answers"} {
 		t.Run(point, func(t *testing.T) {
 			t.Parallel()
 			r := newRegion(t)
 			first := r.put("-if-version", "0", r.settingsFile("mail.toml", "mail", "acme"))
-			leader := r.ask(client.Request{Kind: client.ReadState}).Member
+			leader := r.request(client.Request{Kind: client.ReadState}).Member
 			role := filepath.Join(r.folder, fmt.Sprintf("member-%d", leader))
 			r.write(role, "at "+point+" kill once\n")
 
 			changed := r.settingsFile("changed.toml", "mail", "other")
-			second := r.put("-if-version", first, "-id", "again", "-timeout", patience.String(), changed)
+			second := r.put("-if-version", first, "-id", "retried", "-timeout", hangTimeout.String(), changed)
 			if second != "1.2" {
 				t.Errorf("version %s after %s, wanted 1.2", second, first)
 			}
-			r.members[int(leader)].Wait()
+			awaitExit(t, r.members[int(leader)])
 			if _, err := os.Stat(role + ".once"); err != nil {
 				t.Errorf("the leader was not killed at %s: %v", point, err)
 			}
-			if again := r.put("-if-version", first, "-id", "again", changed); again != second {
-				t.Errorf("the same change by hand: version %s, wanted %s", again, second)
+			if retried := r.put("-if-version", first, "-id", "retried", changed); retried != second {
+				t.Errorf("the same change by hand: version %s, wanted %s", retried, second)
 			}
-			if a := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}); a.Resource.Version.String() != second || !strings.Contains(string(a.Resource.Settings), "other") {
-				t.Errorf("%+v, wanted version %s", a.Resource, second)
+			if resource := r.request(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource; resource.Version.String() != second || !strings.Contains(string(resource.Settings), "other") {
+				t.Errorf("%+v, wanted version %s", resource, second)
 			}
-			if a := r.ask(client.Request{Kind: client.WatchConfiguration}); a.Update.Version.String() != second {
-				t.Errorf("newest version %v, wanted %s: it was applied twice", a.Update.Version, second)
+			if update := r.request(client.Request{Kind: client.WatchConfiguration}).Update; update.Version.String() != second {
+				t.Errorf("newest version %v, wanted %s: it was applied twice", update.Version, second)
 			}
 		})
 	}
 }
 
-// A member that can't tell whether a change took effect is asked again with the same
-// id, until one can.
-func TestConfigPutRepeatsWhatIsUnknown(t *testing.T) {
+// A change whose outcome is unknown is retried with the same ID.
+func TestConfigPutRetriesUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var ids []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		var q client.Request
-		if err := json.NewDecoder(request.Body).Decode(&q); err != nil || q.Change == nil {
-			t.Errorf("%+v, %v, wanted a change", q, err)
+		var decoded client.Request
+		if err := json.NewDecoder(request.Body).Decode(&decoded); err != nil || decoded.Change == nil {
+			t.Errorf("%+v, %v, wanted a change", decoded, err)
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		ids = append(ids, q.Change.ID)
-		answer := client.Response{Cluster: "west#1", Unavailable: coordination.ErrUnknownOutcome.Error(), OutcomeUnknown: true}
+		ids = append(ids, decoded.Change.ID)
+		response := client.Response{Cluster: "west#1", Unavailable: coordination.ErrUnknownOutcome.Error(), OutcomeUnknown: true}
 		if len(ids) == 3 {
-			answer = client.Response{Cluster: "west#1", Resource: &configuration.Resource{Service: "mail", Version: configuration.NewVersion(1, 5)}}
+			response = client.Response{Cluster: "west#1", Resource: &configuration.Resource{Service: "mail", Version: configuration.NewVersion(1, 5)}}
+		}
+		if err := json.NewEncoder(w).Encode(response); err != nil {
+			t.Error(err)
 		}
-		json.NewEncoder(w).Encode(answer)
 	}))
 	defer server.Close()
 	folder := t.TempDir()
-	r := &region{t: t, folder: folder, path: filepath.Join(folder, "council.toml")}
+	r := &testRegion{t: t, folder: folder, path: filepath.Join(folder, "council.toml")}
 	r.write(r.path, fmt.Sprintf("name = \"west\"\ndirectory = \"state\"\n[[member]]\nnumber = 1\naddress = %q\n", server.Listener.Addr()))
-	if version := r.put("-timeout", patience.String(), r.settingsFile("mail.toml", "mail", "acme")); version != "1.5" {
+	if version := r.put("-timeout", hangTimeout.String(), r.settingsFile("mail.toml", "mail", "acme")); version != "1.5" {
 		t.Errorf("version %s, wanted 1.5", version)
 	}
 	if len(ids) != 3 || ids[0] == "" || ids[1] != ids[0] || ids[2] != ids[0] {
@@ -353,14 +222,13 @@
 	}
 }
 
-// Without a majority put says that it does not know, and how to find out.
+// Without a majority put reports that the outcome is unknown, and how to find out.
 func TestConfigPutWithoutMajority(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
 	mail := r.settingsFile("mail.toml", "mail", "acme")
 	for i := 1; i <= 2; i++ {
-		r.members[i].Process.Kill()
-		r.members[i].Wait()
+		killProcess(t, r.members[i])
 	}
 	code, out, errw := r.config("put", "-if-version", "0", "-id", "mine", "-timeout", "1s", mail)
 	if code != exitFailed || out != "" || strings.Count(errw, "\n") != 1 || !strings.Contains(errw, "not known whether it was changed") || !strings.Contains(errw, "-id mine") {
@@ -368,22 +236,22 @@
 	}
 }
 
-// Two operators change the same version: one wins, the other is told of the conflict
-// by its exit code, and what the winner wrote stands.
-func TestConfigPutOfTwoOperators(t *testing.T) {
+// Two operators change the same version: one succeeds, the other gets the exit code of a
+// conflict, and the settings are those of the first.
+func TestConfigPutConflict(t *testing.T) {
 	t.Parallel()
 	r := newRegion(t)
 	version := r.put("-if-version", "0", r.settingsFile("mail.toml", "mail", "nobody"))
 	for round := range 5 {
 		var codes [2]int
-		var said [2]string
+		var errorTexts [2]string
 		var operators sync.WaitGroup
 		for i := range codes {
 			path := r.settingsFile(fmt.Sprintf("operator-%d.toml", i), "mail", fmt.Sprintf("operator-%d", i))
 			operators.Go(func() {
 				var errw string
 				codes[i], _, errw = r.config("put", "-if-version", version, path)
-				said[i] = errw
+				errorTexts[i] = errw
 			})
 		}
 		operators.Wait()
@@ -392,135 +260,16 @@
 			winner = 1
 		}
 		if codes[winner] != exitDone || codes[1-winner] != exitConflict {
-			t.Fatalf("round %d: exit codes %v, wanted %d and %d: %q", round, codes, exitDone, exitConflict, said)
+			t.Fatalf("round %d: exit codes %v, wanted %d and %d: %q", round, codes, exitDone, exitConflict, errorTexts)
 		}
 		_, text, _ := r.config("get", "mail")
 		if !strings.Contains(text, fmt.Sprintf("operator-%d", winner)) {
-			t.Fatalf("round %d: %s, wanted what operator %d wrote", round, text, winner)
-		}
-		held := r.ask(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource.Version
-		if want, _ := configuration.ParseVersion(version); held != want+1 {
-			t.Fatalf("round %d: version %v, wanted one on from %s", round, held, version)
-		}
-		version = held.String()
-	}
-}
-
-// The status of a service joins what relays say, and names the one that is silent.
-func TestConfigStatus(t *testing.T) {
-	t.Parallel()
-	r := newRegion(t)
-	mail := r.settingsFile("mail.toml", "mail", "acme")
-	old, err := configuration.ParseVersion(r.put("-if-version", "0", mail))
-	if err != nil {
-		t.Fatal(err)
-	}
-	newest, err := configuration.ParseVersion(r.put(mail))
-	if err != nil {
-		t.Fatal(err)
-	}
-	relays := []string{r.startRelay("near"), r.startRelay("far")}
-	r.poll(relays[0], &configuration.Poll{Subscriber: "current", Version: newest})
-	r.poll(relays[0], &configuration.Poll{Subscriber: "refuses", Version: newest, Rejected: []configuration.Rejection{{Service: "mail", Version: newest, Reason: "no class of that name"}}})
-	r.poll(relays[1], &configuration.Poll{Subscriber: "late", Version: old})
-	r.poll(relays[1], &configuration.Poll{Subscriber: "other", Version: old, Services: configuration.Subscription{"post"}})
-
-	code, text, errw := r.config("status", "-relays", strings.Join(relays, ","), "mail")
-	if code != exitDone {
-		t.Errorf("exit code %d: %s%s", code, text, errw)
-	}
-	for _, want := range []string{
-		"relay " + relays[0] + ": version 1.2", "relay " + relays[1] + ": version 1.2",
-		"rejected by refuses: no class of that name\n", "behind: late at version 1.1\n",
-		"mail: version 1.2 in force at 1 of 3, rejected by 1, behind 1, silent 0\n",
-	} {
-		if !strings.Contains(text, want) {
-			t.Errorf("wanted %q in:\n%s", want, text)
-		}
-	}
-	nobody := r.freeAddress()
-	code, text, _ = r.config("status", "-json", "-relays", relays[0]+","+nobody, "mail")
-	var result statusResult
-	if err := json.Unmarshal([]byte(text), &result); err != nil || code != exitFailed {
-		t.Fatalf("exit code %d, wanted %d, as one relay does not answer: %v: %s", code, exitFailed, err, text)
-	}
-	if len(result.Relays) != 2 || result.Relays[0].Error != "" || result.Relays[1].Address != nobody || result.Relays[1].Error == "" || result.InForce != 1 || result.Rejected != 1 {
-		t.Errorf("%+v", result)
-	}
-}
-
-// startRelay runs a relay of the region and awaits that it has heard the newest.
-func (r *region) startRelay(name string) (address string) {
-	r.t.Helper()
-	address = r.freeAddress()
-	path := filepath.Join(r.folder, name+".toml")
-	r.write(path, fmt.Sprintf("region = \"west\"\nzone = \"a\"\nname = %q\nlisten = %q\nmembers = [%q, %q, %q]\n",
-		name, address, r.file.Members[0].Address, r.file.Members[1].Address, r.file.Members[2].Address))
-	r.start(name, "relay", "run", path)
-	newest := r.ask(client.Request{Kind: client.WatchConfiguration}).Update.Version
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		status := askRelay(ctx, "west", address, "mail")
-		cancel()
-		if status.Error == "" && status.answer.Version >= newest {
-			return address
+			t.Fatalf("round %d: %s, wanted the settings of operator %d", round, text, winner)
 		}
-	}
-	r.t.Fatalf("relay %s does not hear of version %v", name, newest)
-	return ""
-}
-
-// poll is one of a subscriber.
-func (r *region) poll(relay string, p *configuration.Poll) {
-	r.t.Helper()
-	p.Region = "west"
-	text, err := json.Marshal(p)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	response, err := http.Post("http://"+relay+configuration.PollPath, "application/json", bytes.NewReader(text))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	defer response.Body.Close()
-	var answer configuration.PollResponse
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.ErrorCode != "" {
-		r.t.Fatalf("%s: %+v, %v", p.Subscriber, answer, err)
-	}
-}
-
-// Of a subscriber that two relays know the latest word counts; one that was not
-// heard of for long is named with the time; names are cut to a bound.
-func TestStatusOf(t *testing.T) {
-	version := configuration.NewVersion(1, 7)
-	subscriber := func(name string, version configuration.Version, silent time.Duration) configuration.SubscriberStatus {
-		return configuration.SubscriberStatus{Subscriber: name, Version: version, SinceLastPollMS: silent.Milliseconds()}
-	}
-	near := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
-		subscriber("moved", version, time.Second), subscriber("gone", version-1, 2*time.Minute),
-	}}
-	rejects := subscriber("rejects", version+1, 0)
-	rejects.RejectedVersion, rejects.Reason = version, "two\nlines"
-	rejectedBefore := subscriber("rejected-before", version, 0)
-	rejectedBefore.RejectedVersion = version - 1
-	far := &configuration.StatusResponse{Subscribers: []configuration.SubscriberStatus{
-		subscriber("moved", version-1, 3*time.Second), rejects, rejectedBefore,
-	}}
-	for i := range maxNamedOfAKind + 4 {
-		far.Subscribers = append(far.Subscribers, subscriber(fmt.Sprintf("z%02d", i), version-1, 0))
-	}
-	resource := &configuration.Resource{Service: "mail", Version: version}
-	result := statusOf(resource, []relayAnswer{{Address: "near", answer: near}, {Address: "far", answer: far}, {Address: "dead", Error: "refused"}})
-	var b strings.Builder
-	if err := printStatus(&b, result); err != nil {
-		t.Fatal(err)
-	}
-	for _, want := range []string{
-		"relay dead: no answer: refused\n", "rejected by rejects: two lines\n", "behind: gone at version 1.6\n", "silent: gone for 2m0s\n",
-		"... and 5 more (-json has all)\n", "mail: version 1.7 in force at 2 of 28, rejected by 1, behind 25, silent 1\n",
-	} {
-		if !strings.Contains(b.String(), want) {
-			t.Errorf("wanted %q in:\n%s", want, b.String())
+		current := r.request(client.Request{Kind: client.ReadConfiguration, Service: "mail"}).Resource.Version
+		if want, _ := configuration.ParseVersion(version); current != want+1 {
+			t.Fatalf("round %d: version %v, wanted the one after %s", round, current, version)
 		}
+		version = current.String()
 	}
 }
--- a/cmd/otterspring/relay.go
+++ b/cmd/otterspring/relay.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"strings"
 	"syscall"
 	"time"
 
@@ -18,6 +19,7 @@
 	"otterspring/internal/fleet/relay"
 )
 
+// Limits of a request for a relay's status.
 const (
 	relayStatusTimeout  = 2 * time.Second
 	maxRelayStatusBytes = 64 << 10
@@ -54,17 +56,17 @@
 	return relayVerb("check FILE", "say what is wrong with a file, start nothing", func(path string) error {
 		file, err := relay.LoadFile(path)
 		if err == nil {
-			fmt.Fprintf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
+			_, err = fmt.Fprintf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
 				plural(len(file.Members), "member", "members"), plural(file.MaxSnapshotsInFlight, "snapshot", "snapshots"))
 		}
 		return err
 	})
 }
 
-// relayStatus asks a relay how it is.
+// relayStatus prints the state of a running relay.
 func relayStatus(out io.Writer) *cobra.Command {
 	var asJSON bool
-	c := relayVerb("status ADDRESS", "how a relay that runs is", func(address string) error {
+	command := relayVerb("status ADDRESS", "how a relay that runs is", func(address string) error {
 		text, err := fetchRelayInfo(address)
 		if err != nil {
 			return err
@@ -74,16 +76,16 @@
 			return fmt.Errorf("%s: found no relay, but another server", address)
 		}
 		if asJSON {
-			fmt.Fprintln(out, string(text))
-			return nil
+			_, err := fmt.Fprintln(out, string(text))
+			return err
 		}
-		printRelayInfo(out, &info)
-		return nil
+		return printRelayInfo(out, &info)
 	})
-	c.Flags().BoolVar(&asJSON, "json", false, "the relay's own answer, as JSON in one line")
-	return c
+	command.Flags().BoolVar(&asJSON, "json", false, "the relay's own answer, as JSON in one line")
+	return command
 }
 
+// fetchRelayInfo returns the JSON of a relay's Info.
 func fetchRelayInfo(address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayStatusTimeout)
 	defer cancel()
@@ -103,7 +105,9 @@
 	return text, err
 }
 
-func printRelayInfo(out io.Writer, info *relay.Info) {
+// printRelayInfo prints the state of a relay as text.
+func printRelayInfo(out io.Writer, info *relay.Info) error {
+	var text strings.Builder
 	state := "serves"
 	switch {
 	case info.Draining:
@@ -111,21 +115,23 @@
 	case !info.Ready:
 		state = "has not heard from a council yet"
 	}
-	fmt.Fprintf(out, "relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
-	fmt.Fprintf(out, "version %v, %d ms old\n", info.Version, info.AgeMS)
-	fmt.Fprintf(out, "%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
+	fmt.Fprintf(&text, "relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
+	fmt.Fprintf(&text, "version %v, %d ms old\n", info.Version, info.AgeMS)
+	fmt.Fprintf(&text, "%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
 		plural(int(info.Connections), "connection", "connections"), info.Counts.ConnectionsRejected)
-	fmt.Fprintf(out, "%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
+	fmt.Fprintf(&text, "%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
 		info.Counts.Polls, info.Counts.Empty, info.Counts.Deltas, info.Counts.Snapshots, info.SnapshotsInFlight, info.SnapshotsPeak,
 		info.Counts.Busy, info.Counts.WriteTimeouts)
+	_, err := io.WriteString(out, text.String())
+	return err
 }
 
-// relayVerb is a verb that takes one word.
-func relayVerb(use, short string, do func(word string) error) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
-		if len(args) != 1 {
-			return fmt.Errorf("%w: relay %s: found %d words, wanted: %s", errUsage, c.Name(), len(args), use)
+// relayVerb returns a verb that takes one argument.
+func relayVerb(use, short string, run func(argument string) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true, RunE: func(command *cobra.Command, arguments []string) error {
+		if len(arguments) != 1 {
+			return fmt.Errorf("%w: relay %s: found %d words, wanted: %s", errUsage, command.Name(), len(arguments), use)
 		}
-		return do(args[0])
+		return run(arguments[0])
 	}}
 }
--- a/cmd/otterspring/relay_test.go
+++ b/cmd/otterspring/relay_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -17,10 +18,10 @@
 
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/relay"
+	"otterspring/internal/testkit"
 )
 
-// programVariable makes this program be otterspring, in place of the tests: TestMain
-// sees to it.
+// programVariable makes TestMain run otterspring instead of the tests.
 const programVariable = "TEST_OTTERSPRING"
 
 // writeRelayFile writes a relay's file and returns its path.
@@ -34,38 +35,28 @@
 	return path
 }
 
-// freeAddress is one at which nobody listens, with an IP that no other test uses.
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	return freePort(t, fmt.Sprintf("127.%d.%d.%d", 150+os.Getpid()%40, 1+os.Getpid()/40%250, 1+testIPs.Add(1)))
-}
+// relayNetwork is the loopback network of the relays in these tests.
+const relayNetwork = 150
 
-// freePort is an address of an IP at which nobody listens. No child is started
-// meanwhile: until it runs its program it would have a copy of the listener, and keep
-// the address in use.
-func freePort(t *testing.T, ip string) string {
+// freeAddress returns an address at which nobody listens, of an IP that no other test uses.
+func freeAddress(t *testing.T) string {
 	t.Helper()
-	syscall.ForkLock.RLock()
-	defer syscall.ForkLock.RUnlock()
-	listener, err := net.Listen("tcp", ip+":0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
+	return testkit.UnusedAddress(t, relayNetwork)
 }
 
-// Each fault of a relay is one line with its place, and the right exit code.
+// Each error of a relay is one line with its place, and has the right exit code.
 func TestRelayExitCodes(t *testing.T) {
-	foreign := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found council west, wanted east"})
+	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if err := json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found council west, wanted east"}); err != nil {
+			t.Error(err)
+		}
 	}))
-	defer foreign.Close()
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	defer other.Close()
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	nobody := freeAddress(t)
 	good := writeRelayFile(t, freeAddress(t), nobody, "")
 	for _, c := range []struct {
@@ -78,11 +69,11 @@
 		{[]string{"relay", "check", good}, 0, "good; relay r1 of zone west-1, 1 member, 64 snapshots at once"},
 		{[]string{"relay", "check", writeRelayFile(t, nobody, nobody, "")}, 1, "relay.toml:5: members: found " + nobody + " twice"},
 		{[]string{"relay", "run", writeRelayFile(t, nobody, freeAddress(t), "dance = 1")}, 1, "relay.toml:6: dance: found a key that is not known"},
-		{[]string{"relay", "run", writeRelayFile(t, taken.Addr().String(), nobody, "")}, 1, "relay.toml: listen: listen tcp " + taken.Addr().String()},
-		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), foreign.Listener.Addr().String(), "")}, 1, `: found cluster "east", wanted "west"`},
+		{[]string{"relay", "run", writeRelayFile(t, occupied.Addr().String(), nobody, "")}, 1, "relay.toml: listen: listen tcp " + occupied.Addr().String()},
+		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), other.Listener.Addr().String(), "")}, 1, `: found cluster "east", wanted "west"`},
 		{[]string{"relay", "status", nobody}, 1, "connection refused"},
 		{[]string{"relay", "status", "a b"}, 2, `found address "a b"`},
-		{[]string{"relay", "status", foreign.Listener.Addr().String()}, 1, "found no relay"},
+		{[]string{"relay", "status", other.Listener.Addr().String()}, 1, "found no relay"},
 		{[]string{"__complete", "relay", "status", "--j"}, 0, "--json"},
 	} {
 		var out, errw bytes.Buffer
@@ -94,37 +85,66 @@
 	}
 }
 
-// startRelay starts a relay without a council in a process of its own.
-func startRelay(t *testing.T, more string) (process *exec.Cmd, address string) {
+// startRelay starts a relay in a separate process, whose cluster does not respond.
+func startRelay(t *testing.T, settings string) (process *exec.Cmd, address string) {
 	t.Helper()
 	address = freeAddress(t)
-	process = exec.Command(os.Args[0], "relay", "run", writeRelayFile(t, address, freeAddress(t), more))
+	process = exec.Command(os.Args[0], "relay", "run", writeRelayFile(t, address, freeAddress(t), settings))
 	process.Env = append(os.Environ(), programVariable+"=1")
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is ended leaves nobody
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves no process
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { process.Process.Kill(); process.Wait() })
+	t.Cleanup(func() { killProcess(t, process) })
 	awaitRelay(t, address, func(*relay.Info) bool { return true })
 	return process, address
 }
 
-// awaitRelay waits until a relay answers, and something is true of it.
-func awaitRelay(t *testing.T, address string, is func(info *relay.Info) bool) {
+// killProcess ends a process, if it has not ended, and waits for its end.
+func killProcess(t *testing.T, process *exec.Cmd) {
+	t.Helper()
+	if process.ProcessState != nil {
+		return
+	}
+	if err := process.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		t.Error(err)
+	}
+	awaitExit(t, process)
+}
+
+// awaitExit waits for the end of a process, whatever its exit code or signal is.
+func awaitExit(t *testing.T, process *exec.Cmd) {
+	t.Helper()
+	if err := process.Wait(); err != nil {
+		if _, ok := errors.AsType[*exec.ExitError](err); !ok {
+			t.Error(err)
+		}
+	}
+}
+
+func signalProcess(t *testing.T, process *exec.Cmd, signal syscall.Signal) {
+	t.Helper()
+	if err := process.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// awaitRelay waits until a relay responds and meets a condition.
+func awaitRelay(t *testing.T, address string, isMet func(info *relay.Info) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(hangTimeout); ; time.Sleep(5 * time.Millisecond) {
 		var out, errw bytes.Buffer
 		var info relay.Info
-		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && is(&info) {
+		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && isMet(&info) {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("relay %s: %s%s", address, out.String(), errw.String())
 		}
 	}
 }
 
-// The first signal begins a drain, the second ends the process at once.
+// The first signal starts a drain, the second ends the process immediately.
 func TestRelaySignals(t *testing.T) {
 	t.Parallel()
 	process, address := startRelay(t, "drain = \"100ms\"\n")
@@ -132,20 +152,20 @@
 	if code := run([]string{"relay", "status", address}, &out, &errw); code != 0 || !strings.Contains(out.String(), "has not heard from a council yet") {
 		t.Errorf("status: %d %s%s", code, out.String(), errw.String())
 	}
-	process.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, process, syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v, wanted exit code 0", err)
 	}
 	process, address = startRelay(t, "drain = \"1m\"\n")
-	conn, err := net.Dial("tcp", address) // a drain lasts while somebody is connected
+	conn, err := net.Dial("tcp", address) // a drain lasts while there is a connection
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	process.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, process, syscall.SIGTERM)
 	awaitRelay(t, address, func(info *relay.Info) bool { return info.Draining })
-	process.Process.Signal(syscall.SIGTERM)
-	process.Wait()
+	signalProcess(t, process, syscall.SIGTERM)
+	awaitExit(t, process)
 	if status := process.ProcessState.Sys().(syscall.WaitStatus); !status.Signaled() || status.Signal() != syscall.SIGTERM {
 		t.Errorf("after the second SIGTERM: %v, wanted an end by it", process.ProcessState)
 	}
