--- a/cmd/otterspring/check.go
+++ b/cmd/otterspring/check.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// validate reads operators' files and says what is wrong with them.
+// check reads operators' files and says what is wrong with them.
 func check(files []string, out io.Writer) error {
 	if len(files) == 0 {
 		return fmt.Errorf("%w: check: wanted a file", errUsage)
--- a/cmd/rig/scale.go
+++ b/cmd/rig/scale.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// validate holds the options against their bounds and the machine's, before anything
+// check holds the options against their bounds and the machine's, before anything
 // is begun.
 func (o *scaleFlags) check(sizes []int) error {
 	limits, err := scale.MachineLimits()
--- a/internal/fleet/configuration/model_test.go
+++ b/internal/fleet/configuration/model_test.go
@@ -83,7 +83,7 @@
 	return p.subscriber.versions[p.service] >= p.version
 }
 
-// healthySince tells whether any relay could serve from before a time until now.
+// anyHealthySince tells whether any relay could serve from before a time until now.
 func (m *model) anyHealthySince(at time.Duration) bool {
 	return slices.ContainsFunc(m.relays, func(r *simulatedRelay) bool {
 		return r.healthySince >= 0 && r.healthySince+convergenceLimit <= at
--- a/internal/fleet/relay/load_test.go
+++ b/internal/fleet/relay/load_test.go
@@ -210,7 +210,7 @@
 	return kilobytes
 }
 
-// beforeAcknowledge awaits that all subscribers have polled twice.
+// awaitPolls waits until there were two polls per subscriber.
 func (r *loadedRelay) awaitPolls(b *testing.B) {
 	b.Helper()
 	awaitCondition(b, "polls", func() bool { return r.polls.Load() >= int64(2*len(r.subscribers)) })
--- a/internal/fleet/relay/subscriber_test.go
+++ b/internal/fleet/relay/subscriber_test.go
@@ -39,7 +39,7 @@
 	done chan struct{}
 }
 
-// inFlight counts the snapshots that were received and not acknowledged.
+// snapshotCount counts the snapshots that were received; those in flight are not acknowledged.
 type snapshotCount struct{ inFlight, peak, total atomic.Int64 }
 
 func (c *snapshotCount) add() {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -121,7 +121,7 @@
 	return Limits{Descriptors: int(min(files.Cur, 1<<30)), Memory: memory}, err
 }
 
-// Validate tells in one line why a run can't be played on a machine.
+// Check returns one line on why a run is not possible on a machine.
 func (o *Options) Check(machine Limits) error {
 	if err := o.checkBounds(); err != nil {
 		return fmt.Errorf("%w: %w", ErrOptions, err)
