--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -25,10 +25,10 @@
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
+	"otterspring/internal/sidecar/configclient"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/operatorconfig"
-	"otterspring/internal/subscription"
 )
 
 // Sidecar is a running sidecar. Start begins its goroutines: the HTTP and the CoAP
@@ -43,7 +43,7 @@
 	httpServer   *httpfront.Front
 	coapServer   *coapfront.Front // nil where it is off
 	watcher      *discovery.Watcher
-	configClient *subscription.Client // nil where it is off
+	configClient *configclient.Client // nil where it is off
 	config       Config               // as last loaded; only Reload changes it
 	cancel       context.CancelFunc   // ends the goroutines but the servers
 
