--- a/internal/sidecar/abandon_test.go
+++ b/internal/sidecar/abandon_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -17,11 +18,14 @@
 		t.Fatal(err)
 	}
 	state := uint8(0)
-	raw.Control(func(fd uintptr) {
+	err = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			state = info.State
 		}
 	})
+	if err != nil {
+		t.Fatal(err)
+	}
 	return state
 }
 
@@ -33,8 +37,10 @@
 	const tcpClose = 7 // reset; after a plain close it would be in CLOSE_WAIT, 8
 	ended, checked := make(chan net.Conn, 1), make(chan struct{})
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
-		io.Copy(io.Discard, r.Body)
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Error(err)
+		}
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("the upstream saw %v, want the end of sending first", err)
 		}
 		ended <- c
--- a/internal/sidecar/coap_test.go
+++ b/internal/sidecar/coap_test.go
@@ -35,7 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.closeCoAP(); s.httpServer.Listener().Close(); s.cancel() })
+	stopAtEnd(t, s)
+	t.Cleanup(s.closeCoAP)
 	return s
 }
 
@@ -64,7 +65,7 @@
 		}
 		w.Header().Set("Content-Type", "text/plain")
 		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-		io.WriteString(w, answer)
+		trySend(w, answer)
 	}))
 	defer up.Close()
 	s := startCoAP(t, true, up.Listener.Addr().String())
@@ -72,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	closeAtEnd(t, c)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	want := func(what string, r *pool.Message, err error, code codes.Code, body string) {
@@ -144,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	closeAtEnd(t, c)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	got := make(chan codes.Code, 1)
@@ -165,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
+	closeAtEnd(t, other)
 	if r, err := other.Post(ctx, "/act", message.TextPlain, strings.NewReader("y")); err != nil || r.Code() != codes.ServiceUnavailable {
 		t.Errorf("in the drain: %v %v", r, err)
 	}
@@ -201,7 +202,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(patience))
+	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
 	m := own.Message{Type: own.Confirmable, Code: own.POST, ID: 7, Token: []byte{1}, Payload: []byte("x")}
 	m.Add(own.URIPath, []byte("act"))
 	text, err := m.Append(nil)
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -33,9 +33,9 @@
 		case 0:
 			return false
 		case 1:
-			io.WriteString(c, "noise")
+			trySend(c, "noise")
 		case 2:
-			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			trySend(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		case 3:
 			time.Sleep(20 * time.Millisecond)
 			return good(c, r, 0)
@@ -50,7 +50,7 @@
 		all.Go(func() {
 			for range 10 {
 				c := dialClient(t, s)
-				io.WriteString(c, readRequest(newID()))
+				trySend(c, readRequest(newID()))
 				if i%3 > 0 {
 					clientAnswer(t, c)
 				}
@@ -91,16 +91,16 @@
 	s := startSidecar(t, up.addr())
 	busy, half, silent := dialClient(t, s), dialClient(t, s), dialClient(t, s)
 	ids := []string{newID(), newID(), newID()}
-	io.WriteString(busy, readRequest(ids[0]))
+	send(t, busy, readRequest(ids[0]))
 	text := readRequest(ids[1])
-	io.WriteString(half, text[:20])
+	send(t, half, text[:20])
 	<-asked
 	ended := make(chan bool)
 	go func() { s.Drain(); close(ended) }()
 	eventually(t, "the drain begins", s.httpServer.Draining)
 	late := dialClient(t, s)
-	io.WriteString(late, readRequest(ids[2]))
-	io.WriteString(half, text[20:])
+	send(t, late, readRequest(ids[2]))
+	send(t, half, text[20:])
 	<-asked
 	<-asked
 	if n, err := io.Copy(io.Discard, silent); n > 0 || err != nil {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -42,9 +42,9 @@
 		<-ready
 		switch calls.Add(1) {
 		case 1:
-			io.WriteString(w, listText(9, up.addr()))
+			trySend(w, listText(9, up.addr()))
 		case 2:
-			fmt.Fprintf(w, `{"index":5,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":"left","since_ms":0}]}`, up.addr(), up.addr())
+			trySend(w, fmt.Sprintf(`{"index":5,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":"left","since_ms":0}]}`, up.addr(), up.addr()))
 		default:
 			again <- r.URL.RawQuery
 			<-r.Context().Done()
@@ -91,9 +91,11 @@
 	t.Parallel()
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
-		io.Copy(io.Discard, r.Body)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Error(err)
+		}
 		begun <- struct{}{}
-		c.Read(make([]byte, 1))
+		_, _ = c.Read(make([]byte, 1)) // ends when the sidecar closes or resets the connection
 		ended <- struct{}{}
 		return false
 	})
--- a/internal/sidecar/entrypoint/configuration_test.go
+++ b/internal/sidecar/entrypoint/configuration_test.go
@@ -27,6 +27,7 @@
 var relayVersion = configuration.NewVersion(3, 14)
 
 func startRelay(t *testing.T) *relay {
+	t.Helper()
 	r := &relay{}
 	r.Server = httptest.NewServer(http.HandlerFunc(r.serve))
 	t.Cleanup(func() {
@@ -51,7 +52,7 @@
 	} else {
 		time.Sleep(time.Duration(poll.WaitMS) * time.Millisecond)
 	}
-	json.NewEncoder(w).Encode(configuration.PollResponse{Region: "north", Update: &update})
+	_ = json.NewEncoder(w).Encode(configuration.PollResponse{Region: "north", Update: &update}) // fails where the subscriber has disconnected
 }
 
 func (r *relay) asked() int {
--- a/internal/sidecar/entrypoint/main_test.go
+++ b/internal/sidecar/entrypoint/main_test.go
@@ -72,7 +72,7 @@
 
 // during plays rate requests a second, while play does something to the
 // instance; then the verdict must be clean.
-func during(t *testing.T, w *rig.World, rate float64, length time.Duration, play func(*rig.Instance)) *clients.Clients {
+func during(t *testing.T, w *rig.World, rate float64, length time.Duration, play func(*rig.Instance)) {
 	t.Helper()
 	in := w.Instances[0]
 	cl := w.Clients(in, 5)
@@ -92,10 +92,10 @@
 	if n := cl.RefusedConns(); n > 0 {
 		t.Errorf("%d connections refused", n)
 	}
-	return cl
 }
 
 func ctx(t *testing.T) context.Context {
+	t.Helper()
 	c, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
 	return c
@@ -128,6 +128,22 @@
 	})
 }
 
+// write writes a file that a test's program reads.
+func write(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// hangUp sends SIGHUP to an instance.
+func hangUp(t *testing.T, in *rig.Instance) {
+	t.Helper()
+	if err := in.Signal(syscall.SIGHUP); err != nil {
+		t.Error(err)
+	}
+}
+
 var noKeep = http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 
 // up returns which process says that it is up.
@@ -165,7 +181,7 @@
 				args := []string{"-operator", filepath.Join(dir, "n1.toml")}
 				if c.mode == "sidecar" {
 					bad := filepath.Join(dir, "bad.toml")
-					os.WriteFile(bad, []byte("[handover]\nsock = 1\n"), 0o600)
+					write(t, bad, "[handover]\nsock = 1\n")
 					args[1] = bad
 				}
 				p, err := in.Spawn([]string{"TEST_RUNS_PROGRAM=" + c.mode, "TEST_SOCKET=" + filepath.Join(dir, "h.sock")}, args...)
@@ -351,8 +367,8 @@
 		if err := in.Move(lag); err != nil {
 			t.Fatal(err)
 		}
-		in.Signal(syscall.SIGHUP)
-		in.Signal(syscall.SIGHUP)
+		hangUp(t, in)
+		hangUp(t, in)
 	})
 	if n := w.Servers[0].Counts().Requests; n == 0 {
 		t.Error("the server was never used")
@@ -380,12 +396,12 @@
 			if err != nil {
 				return
 			}
-			c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
+			_, _ = c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) // the sidecar may have closed it
 			c.Close()
 		}
 	}()
 	file := filepath.Join(dir, "file")
-	os.WriteFile(file, []byte("x"), 0o600)
+	write(t, file, "x")
 	for name, c := range map[string]struct {
 		text, want string
 		args       []string
@@ -398,7 +414,7 @@
 		"a flag that does not exist": {"", "flag provided but not defined", []string{"-x"}},
 	} {
 		path := filepath.Join(dir, strings.ReplaceAll(name, " ", "-")+".toml")
-		os.WriteFile(path, []byte(c.text), 0o600)
+		write(t, path, c.text)
 		args := c.args
 		if args == nil {
 			args = []string{"-operator", path}
--- a/internal/sidecar/entrypoint/notify_test.go
+++ b/internal/sidecar/entrypoint/notify_test.go
@@ -4,14 +4,13 @@
 	"net"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
 	"otterspring/internal/lab/rig"
 )
 
-// The states that a supervisor hears over the life of a sidecar, through a
+// The notifications that a service manager receives from start to stop of a sidecar, through a
 // socket that the test holds.
 func TestNotify(t *testing.T) {
 	t.Parallel()
@@ -20,15 +19,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(patience))
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
 	until := func(state string) {
 		t.Helper()
 		buf := make([]byte, 4096)
 		for {
 			n, err := c.Read(buf)
 			if err != nil {
-				t.Fatalf("never heard %s: %v", state, err)
+				t.Fatalf("no notification %s: %v", state, err)
 			}
 			if strings.Contains(string(buf[:n]), state) {
 				return
@@ -42,7 +47,7 @@
 	in := w.Instances[0]
 	until("READY=1\nMAINPID=")
 	until("WATCHDOG=1")
-	in.Signal(syscall.SIGHUP)
+	hangUp(t, in)
 	until("RELOADING=1\nMONOTONIC_USEC=")
 	until("READY=1")
 	if err := in.Stop(ctx(t)); err != nil {
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -138,7 +138,7 @@
 			text.WriteString(strings.ReplaceAll(got, "\r\n", "<CRLF>\n") + "\n")
 			s.httpServer.SetDraining(true)
 		}
-		s.httpServer.Listener().Close()
+		closeAtEnd(t, s.httpServer.Listener())
 		s.cancel()
 	}
 	compareWithFile(t, "up.txt", text.String())
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	update := r.cache.UpdateSince(poll.Version, poll.Services)
-	json.NewEncoder(w).Encode(configuration.PollResponse{Region: relayRegion, Update: &update})
+	_ = json.NewEncoder(w).Encode(configuration.PollResponse{Region: relayRegion, Update: &update}) // fails where the subscriber has disconnected
 }
 
 func (r *standInRelay) last() configuration.Poll {
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
+	stopAtEnd(t, s)
 	return s
 }
 
@@ -181,7 +181,7 @@
 	s := startFollowing(t, []string{relay.address(), closedAddress(t)}, nil, up.addr())
 
 	first, firstID := dialClient(t, s), newID()
-	io.WriteString(first, readRequest(firstID))
+	send(t, first, readRequest(firstID))
 	<-came
 	relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":200000,"late-worth":0}]}`)
 	wantAim(t, s, "read", aim)
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -44,7 +45,11 @@
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "late")
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +104,15 @@
 
 // sockets counts the connections of this machine to a port that are in a state,
 // localSockets those from it.
-func sockets(t *testing.T, port, state int) int      { return inState(t, 2, port, state) }
-func localSockets(t *testing.T, port, state int) int { return inState(t, 1, port, state) }
+func sockets(t *testing.T, port, state int) int {
+	t.Helper()
+	return inState(t, 2, port, state)
+}
+
+func localSockets(t *testing.T, port, state int) int {
+	t.Helper()
+	return inState(t, 1, port, state)
+}
 
 func inState(t *testing.T, end, port, state int) (n int) {
 	t.Helper()
@@ -108,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, line := range strings.Split(string(text), "\n") {
+	for line := range strings.SplitSeq(string(text), "\n") {
 		f := strings.Fields(line)
 		if len(f) > 3 && strings.HasSuffix(f[end], fmt.Sprintf(":%04X", port)) && f[3] == fmt.Sprintf("%02X", state) {
 			n++
@@ -136,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
+	stopAtEnd(t, s)
 	return s
 }
 
@@ -160,7 +172,7 @@
 		}
 		id := newID()
 		c := dialClient(t, s)
-		io.WriteString(c, putRequest(id))
+		send(t, c, putRequest(id))
 		eventually(t, "a first attempt", func() bool {
 			return one.seen.Load() > 0 || sockets(t, late.ln.Addr().(*net.TCPAddr).Port, tcpSynSent) > 0
 		})
@@ -188,7 +200,7 @@
 	s := startSidecar(t, late.addr())
 	id := newID()
 	c := dialClient(t, s)
-	io.WriteString(c, readRequest(id))
+	send(t, c, readRequest(id))
 	late.dialled(t)
 	entry := func(addr string, state balance.ServerState) dispatch.Endpoint {
 		return dispatch.Endpoint{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Address: addr}
@@ -214,7 +226,7 @@
 			late := startLate(t, good)
 			s := startWith(t, []string{`"cancel":true`, `"cancel":` + may}, late.addr())
 			c := dialClient(t, s)
-			io.WriteString(c, readRequest(newID()))
+			send(t, c, readRequest(newID()))
 			late.dialled(t)
 			c.Close()
 			eventually(t, "the client's leave noticed", func() bool { return s.httpServer.Empty() })
@@ -237,25 +249,25 @@
 	for how, leave := range map[string]func(c net.Conn){
 		"close":      func(c net.Conn) { c.Close() },
 		"reset":      func(c net.Conn) { reset(c); c.Close() },
-		"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
+		"half-close": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }, // what the upstream reads then is checked
 	} {
 		for what, more := range map[string]string{"nothing": "", "a byte": "G", "a request": readRequest("behind"), "a flood": strings.Repeat("x", 60<<10)} {
 			t.Run(how+" behind "+what, func(t *testing.T) {
 				t.Parallel()
-				ended := make(chan error, 1)
+				ended := make(chan struct{}, 1)
 				up := startUpstream(t, func(c net.Conn, _ *http.Request, nth int64) bool {
 					if nth == 1 {
-						_, err := c.Read(make([]byte, 1)) // held until its sending ends
-						ended <- err
+						_, _ = c.Read(make([]byte, 1)) // returns when the sidecar ends the attempt, with any error
+						ended <- struct{}{}
 					}
 					return false
 				})
 				// Nothing else ends the attempt while the test waits.
 				s := startWith(t, []string{"8000000", "80000000"}, up.addr())
 				c := dialClient(t, s)
-				io.WriteString(c, strings.Replace(readRequest(newID()), "X-Deadline: 6", "X-Deadline: 80", 1))
+				send(t, c, strings.Replace(readRequest(newID()), "X-Deadline: 6", "X-Deadline: 80", 1))
 				eventually(t, "the request", func() bool { return up.seen.Load() == 1 })
-				io.WriteString(c, more)
+				trySend(c, more)
 				leave(c)
 				select {
 				case <-ended:
@@ -275,24 +287,28 @@
 	answer := make(chan struct{})
 	up := startUpstream(t, func(c net.Conn, r *http.Request, n int64) bool {
 		<-answer
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		trySend(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		return true
 	})
 	s := startSidecar(t, up.addr())
 	s.httpServer.LingerFor = patience // for a slow machine
 	// The client takes little at a time, so that most of the answer waits in the sidecar's kernel.
 	small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) })
+		var failed error
+		err := raw.Control(func(fd uintptr) { failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) })
+		return errors.Join(err, failed)
 	}}
 	c, err := small.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	io.WriteString(c, readRequest(newID()))
+	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	send(t, c, readRequest(newID()))
 	eventually(t, "the request", func() bool { return up.seen.Load() == 1 })
-	io.WriteString(c, strings.Repeat("x", 60<<10))
+	send(t, c, strings.Repeat("x", 60<<10))
 	s.httpServer.SetDraining(true) // every answer ends its connection from here on
 	close(answer)
 	port := c.LocalAddr().(*net.TCPAddr).Port
@@ -317,7 +333,7 @@
 	serve, refuse := clientSockets(s.config.Sockets)
 	for range 2 * (serve + refuse) {
 		c := dialClient(t, s)
-		io.WriteString(c, readRequest(newID()))
+		send(t, c, readRequest(newID()))
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != http.StatusOK {
 			t.Fatal(r, err)
 		}
@@ -342,14 +358,14 @@
 			if cut > 20 {
 				cut = len(text) - 1
 			}
-			io.WriteString(c, text[:cut])
+			send(t, c, text[:cut])
 			drained := make(chan struct{})
 			go func() { s.Drain(); close(drained) }()
 			rest, _ := io.ReadAll(c) // to the close
 			if len(rest) > 0 && !strings.HasPrefix(string(rest), "HTTP/1.1 4") {
 				t.Errorf("it was told %q", rest)
 			}
-			io.WriteString(c, text[cut:])
+			trySend(c, text[cut:])
 			await(t, drained)
 			if n := up.seen.Load(); n != 0 {
 				t.Errorf("%d requests were sent on after the close", n)
@@ -363,7 +379,7 @@
 		br := bufio.NewReader(c)
 		for i := range 2 {
 			id := newID()
-			io.WriteString(c, readRequest(id))
+			send(t, c, readRequest(id))
 			r, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -404,7 +420,7 @@
 	t.Helper()
 	c := dialClient(t, s)
 	id := newID()
-	io.WriteString(c, strings.Replace(readRequest(id), "X-Deadline: 6", "X-Deadline: 30", 1))
+	send(t, c, strings.Replace(readRequest(id), "X-Deadline: 6", "X-Deadline: 30", 1))
 	began()
 	drained := make(chan struct{})
 	go func() { s.Drain(); close(drained) }()
@@ -449,7 +465,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { second.httpServer.Listener().Close(); second.cancel() })
+	stopAtEnd(t, second)
 	if r, _ := exchange(t, second, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"); r == nil || r.StatusCode != http.StatusOK {
 		t.Errorf("/up answered %v", r)
 	}
@@ -480,7 +496,7 @@
 					if r.URL.Path != "/act" {
 						return good(c, r, n)
 					}
-					io.WriteString(c, text)
+					trySend(c, text)
 					return end(c)
 				}
 				one, two := startUpstream(t, cut), startUpstream(t, cut)
--- a/internal/sidecar/protocol_test.go
+++ b/internal/sidecar/protocol_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -61,7 +60,7 @@
 	s := startSidecar(t, up.addr())
 	id := newID()
 	first := dialClient(t, s)
-	io.WriteString(first, readRequest(id))
+	send(t, first, readRequest(id))
 	<-asked
 	if r, _ := exchange(t, s, readRequest(id)); r == nil || r.StatusCode != http.StatusConflict {
 		t.Errorf("while it is open: %v", r)
--- a/internal/sidecar/proxy_test.go
+++ b/internal/sidecar/proxy_test.go
@@ -26,6 +26,7 @@
 }
 
 func startListServer(t *testing.T, source string, index int, up string) *listServer {
+	t.Helper()
 	d := &listServer{source: source, index: index, up: up, status: "active", changed: make(chan struct{})}
 	d.srv = httptest.NewServer(d)
 	t.Cleanup(d.srv.Close)
@@ -77,16 +78,17 @@
 	case d.fails:
 		http.Error(w, "nothing recent", http.StatusServiceUnavailable)
 	case since == 0 || d.snapshotAlways:
-		fmt.Fprintf(w, `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":%q,"since_ms":0}]}`, d.index, d.up, d.up, d.status)
+		trySend(w, fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":%q,"since_ms":0}]}`, d.index, d.up, d.up, d.status))
 	case d.index == since:
-		fmt.Fprintf(w, `{"index":%d,"snapshot":false,"endpoints":[]}`, d.index)
+		trySend(w, fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, d.index))
 	default:
-		fmt.Fprintf(w, `{"index":%d,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":%q,"since_ms":0}]}`, d.index, d.up, d.up, d.status)
+		trySend(w, fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":%q,"since_ms":0}]}`, d.index, d.up, d.up, d.status))
 	}
 }
 
 // startWithProxy starts a sidecar with a local proxy and a discovery of the test's.
 func startWithProxy(t *testing.T, source string) (s *Sidecar, proxy, discovery *listServer) {
+	t.Helper()
 	up := startUpstream(t, good)
 	proxy, discovery = startListServer(t, source, 9, up.addr()), startListServer(t, "", 9, up.addr())
 	cfg, err := parseConfig([]byte(configText(discovery.addr(), up.addr())))
@@ -96,7 +98,7 @@
 	if s, err = StartWith(cfg, Options{ListProxy: proxy.addr(), ListSource: "delft"}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.httpServer.Listener().Close(); s.cancel() })
+	stopAtEnd(t, s)
 	return s, proxy, discovery
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -98,7 +98,7 @@
 			}
 			return
 		}
-		io.WriteString(w, text)
+		trySend(w, text)
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(func() { close(end) })
@@ -148,7 +148,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
 	return c
 }
 
@@ -223,7 +225,7 @@
 	for range 3 * most {
 		id := newID()
 		c := dialClient(t, s)
-		io.WriteString(c, readRequest(id))
+		send(t, c, readRequest(id))
 		if r, body := clientAnswer(t, c); r == nil || r.StatusCode != 200 || body != id {
 			t.Fatalf("with others staying, a request was answered %v %q", r, body)
 		}
@@ -240,7 +242,7 @@
 	ask := func(c net.Conn) {
 		t.Helper()
 		id := newID()
-		io.WriteString(c, readRequest(id))
+		send(t, c, readRequest(id))
 		if r, body := clientAnswer(t, c); r == nil || r.StatusCode != 200 || body != id {
 			t.Fatalf("answered %v %q", r, body)
 		}
@@ -277,7 +279,7 @@
 		"half body": "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + newID() + "\r\nContent-Length: 100\r\n\r\nabc",
 	} {
 		c := dialClient(t, s)
-		io.WriteString(c, text)
+		send(t, c, text)
 		all.Go(func() {
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s: still open", name)
@@ -299,9 +301,9 @@
 	id := newID()
 	c := dialClient(t, s)
 	body := strings.Repeat("x", 60<<10)
-	fmt.Fprintf(c, "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n", id, len(body))
+	send(t, c, fmt.Sprintf("POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n", id, len(body)))
 	for ; body != ""; body = body[10<<10:] {
-		io.WriteString(c, body[:10<<10])
+		send(t, c, body[:10<<10])
 		time.Sleep(550 * time.Millisecond)
 	}
 	if r, got := clientAnswer(t, c); r == nil || r.StatusCode != 200 || got != id {
--- a/internal/sidecar/stale_test.go
+++ b/internal/sidecar/stale_test.go
@@ -23,7 +23,7 @@
 		at, used := last[c.RemoteAddr().String()]
 		if used && time.Since(at) > kept {
 			dead.Add(1)
-			c.(*net.TCPConn).SetLinger(0)
+			reset(c)
 			return false
 		}
 		last[c.RemoteAddr().String()] = time.Now()
--- a/internal/sidecar/unwritten_test.go
+++ b/internal/sidecar/unwritten_test.go
@@ -24,6 +24,7 @@
 // startBreaking is an upstream that resets its next connection as soon as some
 // of a request is there, if breaks asks for it, and is a good one otherwise.
 func startBreaking(t *testing.T, breaks *atomic.Bool) *upstreamServer {
+	t.Helper()
 	u := &upstreamServer{ln: listen(t), serve: good}
 	go func() {
 		for {
@@ -32,7 +33,7 @@
 				return
 			}
 			if breaks.CompareAndSwap(true, false) {
-				c.Read(make([]byte, 1))
+				_, _ = c.Read(make([]byte, 1)) // the reset follows in any case
 				reset(c)
 				c.Close()
 				continue
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -39,7 +38,7 @@
 			t.Parallel()
 			up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
 				if r.URL.Path == "/act" {
-					go io.WriteString(c, text)
+					go trySend(c, text)
 					return true
 				}
 				return good(c, r, 0)
@@ -66,7 +65,7 @@
 	var all atomic.Int64
 	serve := func(c net.Conn, r *http.Request, _ int64) bool {
 		if all.Add(1) == 1 {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\nhalf")
+			trySend(c, "HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\nhalf")
 			return true
 		}
 		return good(c, r, 0)
@@ -89,16 +88,16 @@
 			t.Run(fmt.Sprint(name, late), func(t *testing.T) {
 				all := make(chan bool, 20) // written
 				up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
-					io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nX-Load: ?=\r\n\r\n")
+					trySend(c, "HTTP/1.1 103 Early Hints\r\nX-Load: ?=\r\n\r\n")
 					id := r.Header.Get("X-Request-Id")
 					text := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: inflight=,\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 					if !late {
 						text += behind
 					}
-					io.WriteString(c, text)
+					trySend(c, text)
 					if late {
 						time.Sleep(time.Millisecond)
-						io.WriteString(c, behind)
+						trySend(c, behind)
 					}
 					all <- true
 					return true
--- a/internal/sidecar/usual_test.go
+++ b/internal/sidecar/usual_test.go
@@ -11,7 +11,7 @@
 
 // reset ends a connection so that its other side sees a reset.
 func reset(c net.Conn) bool {
-	c.(*net.TCPConn).SetLinger(0)
+	_ = c.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 	return false
 }
 
@@ -36,7 +36,7 @@
 	exchange(t, s, actRequest(newID()))
 	for range together {
 		c := dialClient(t, s)
-		c.Write([]byte(actRequest(newID())))
+		send(t, c, actRequest(newID()))
 	}
 	eventually(t, "all are at the upstream together", func() bool { return len(came) == together })
 	close(all)
@@ -78,7 +78,7 @@
 	hold.Store(true)
 	for n := int64(1); n <= 12; n++ {
 		c := dialClient(t, s)
-		c.Write([]byte(actRequest(newID())))
+		send(t, c, actRequest(newID()))
 		eventually(t, "the request is at an upstream", func() bool { return held[0].Load()+held[1].Load() == n })
 	}
 	if a, b := held[0].Load(), held[1].Load(); a == 0 || b == 0 {
