--- a/internal/sidecar/abandon_test.go
+++ b/internal/sidecar/abandon_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpState is what the kernel holds a connection to be in.
+// tcpState returns a connection's state by the kernel.
 func tcpState(t *testing.T, c net.Conn) uint8 {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -29,10 +29,10 @@
 	return state
 }
 
-// An attempt that is given up first ends its sending, so that the work stops,
-// and is then reset: a plain close would leave what is still on its way to be
-// delivered, and run, whenever the way is whole again.
-func TestGivenUpAttemptsAreReset(t *testing.T) {
+// An abandoned attempt first ends its sending, so that the work stops, and is then
+// reset: after a plain close bytes in transit would still be delivered, and executed,
+// whenever the network recovers.
+func TestAbandonedAttemptsAreReset(t *testing.T) {
 	t.Parallel()
 	const tcpClose = 7 // reset; after a plain close it would be in CLOSE_WAIT, 8
 	ended, checked := make(chan net.Conn, 1), make(chan struct{})
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -34,9 +34,9 @@
 	return text.Bytes()
 }
 
-// capacityEngine is a sidecar's engine with its connection pool, as a start joins
+// capacityDispatcher is a sidecar's dispatcher with its connection pool, as a start joins
 // them.
-func capacityEngine(b *testing.B, warmKeys bool) *dispatch.Dispatcher {
+func capacityDispatcher(b *testing.B, warmKeys bool) *dispatch.Dispatcher {
 	b.Helper()
 	pool := httpupstream.New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 400)
 	eng, err := dispatch.New(dispatch.Settings{
@@ -59,7 +59,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	eng := capacityEngine(b, warmKeys)
+	eng := capacityDispatcher(b, warmKeys)
 	eng.UpdateEndpoints(balance.ListFull, list, 0)
 	return eng
 }
@@ -87,7 +87,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				eng := capacityEngine(b, warmKeys)
+				eng := capacityDispatcher(b, warmKeys)
 				eng.UpdateEndpoints(balance.ListFull, list, 0)
 				states := []balance.ServerState{balance.Draining, balance.Gone, balance.Ready}
 				cost.Loop(b, func(i int) {
@@ -110,7 +110,7 @@
 				cost.Held(b, servers, "B/server", func() any {
 					eng := capacityListed(b, warmKeys, text)
 					if _, _, hosts := eng.Counts(); hosts != servers {
-						b.Fatalf("%d servers are held, wanted %d", hosts, servers)
+						b.Fatalf("found %d servers, wanted %d", hosts, servers)
 					}
 					return eng
 				})
@@ -135,6 +135,6 @@
 		t.Errorf("the same file: %q wait for the next start, wanted none", found)
 	}
 	if found := before.changedKeys(&after); !slices.Equal(found, []string{"settings"}) {
-		t.Errorf("another aim: %q wait for the next start, wanted settings", found)
+		t.Errorf("another latency objective: found keys %q that wait for the next start, wanted settings", found)
 	}
 }
--- a/internal/sidecar/coap_test.go
+++ b/internal/sidecar/coap_test.go
@@ -121,7 +121,7 @@
 				t.Fatalf("heard %q, want %q", got, want)
 			}
 		case <-ctx.Done():
-			t.Fatalf("nothing heard of version %d", v)
+			t.Fatalf("no notification of version %d", v)
 		}
 		version.Add(1)
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What is wrong with a configuration is told in one line that names the key, what was
-// found and what is wanted; nothing is guessed where a guess could run a request twice.
+// An error in a configuration is one line that names the key, what was found and what is
+// wanted; nothing is guessed where a guess could execute a request twice.
 func TestBadConfigurations(t *testing.T) {
 	good := configText("127.0.0.1:1")
 	if _, err := parseConfig([]byte(good)); err != nil {
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -67,20 +67,20 @@
 		n := idleConns(s)
 		return poolOpen(s) == n && up.live.Load() == int64(n)
 	})
-	eventually(t, "the budget is whole", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
-	eventually(t, "no client is kept", s.httpServer.Empty)
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "no client connection is open", s.httpServer.Empty)
 
 	// An upstream that leaves takes its connections along.
 	s.dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Snapshot: true}, 0)
-	eventually(t, "nothing is kept of an upstream that has gone", func() bool {
+	eventually(t, "no connection is left to an upstream that left the list", func() bool {
 		_, _, hosts := engineCounts(s)
 		return hosts == 0 && poolOpen(s) == 0 && up.live.Load() == 0
 	})
 }
 
-// A drain answers what is taken, half-read and just accepted ones included,
-// and ends.
-func TestDrainAnswersWhatIsTaken(t *testing.T) {
+// A drain answers all accepted requests, partially read ones and those on new connections
+// included, and ends.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	asked, answer := make(chan bool, 9), make(chan bool)
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
@@ -104,7 +104,7 @@
 	<-asked
 	<-asked
 	if n, err := io.Copy(io.Discard, silent); n > 0 || err != nil {
-		t.Errorf("the silent one was told %d bytes, %v", n, err)
+		t.Errorf("the idle client received %d bytes, %v", n, err)
 	}
 	close(answer)
 	for i, c := range []net.Conn{busy, half, late} {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -32,7 +32,7 @@
 
 // A change of an older version than the list's is not taken, and the whole list
 // is asked for next.
-func TestOlderChangeIsNotTaken(t *testing.T) {
+func TestOlderDeltaIsNotApplied(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	again := make(chan string, 64)
@@ -64,7 +64,7 @@
 }
 
 // Discovery that takes a call and says nothing is called again in the end.
-func TestSilentDiscoveryIsCalledAgain(t *testing.T) {
+func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	again := make(chan struct{}, 64)
@@ -110,6 +110,6 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second): // its own end is at 6 s
-		t.Error("the work went on without its client")
+		t.Error("the work continued without its client")
 	}
 }
--- a/internal/sidecar/entrypoint/main_test.go
+++ b/internal/sidecar/entrypoint/main_test.go
@@ -311,7 +311,7 @@
 
 // A server that answers nothing must not hold the end up: at the bound what is
 // open is handed back, and truthfully so.
-func TestDrainHandsBack(t *testing.T) {
+func TestDrainAnswersPendingRequests(t *testing.T) {
 	t.Parallel()
 	w := world(t, func(o *rig.Options) {
 		o.Stretch = 100 // deadlines of minutes
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -21,8 +21,8 @@
 
 const relayRegion = "north"
 
-// standInRelay is a relay that holds what a test puts into it.
-type standInRelay struct {
+// fakeRelay is a relay that holds what a test puts into it.
+type fakeRelay struct {
 	server *httptest.Server
 	mu     sync.Mutex
 	cache  configuration.Cache
@@ -31,25 +31,25 @@
 	news   chan struct{} // closed with each change
 }
 
-func startRelay(t *testing.T) *standInRelay {
+func startRelay(t *testing.T) *fakeRelay {
 	t.Helper()
-	r := &standInRelay{news: make(chan struct{})}
+	r := &fakeRelay{news: make(chan struct{})}
 	r.server = httptest.NewServer(r)
 	t.Cleanup(r.end)
 	r.put(t)
 	return r
 }
 
-func (r *standInRelay) end() {
+func (r *fakeRelay) end() {
 	r.server.CloseClientConnections()
 	r.server.Close()
 }
 
-func (r *standInRelay) address() string { return r.server.Listener.Addr().String() }
+func (r *fakeRelay) address() string { return r.server.Listener.Addr().String() }
 
 // put makes one change of some services, pairs of a name and its settings, and
 // returns its version.
-func (r *standInRelay) put(t *testing.T, services ...string) configuration.Version {
+func (r *fakeRelay) put(t *testing.T, services ...string) configuration.Version {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,14 +64,14 @@
 }
 
 // drop makes a change after which no service is there. The next answers are snapshots.
-func (r *standInRelay) drop(t *testing.T) {
+func (r *fakeRelay) drop(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.take(t, configuration.Update{Version: configuration.NewVersion(2, 1)})
 }
 
-func (r *standInRelay) take(t *testing.T, update configuration.Update) {
+func (r *fakeRelay) take(t *testing.T, update configuration.Update) {
 	t.Helper()
 	if _, err := r.cache.Apply(update); err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	r.news = make(chan struct{})
 }
 
-func (r *standInRelay) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+func (r *fakeRelay) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	var poll configuration.Poll
 	if err := json.NewDecoder(request.Body).Decode(&poll); err != nil || poll.Validate() != nil {
 		http.Error(w, "bad poll", http.StatusBadRequest)
@@ -108,7 +108,7 @@
 	_ = json.NewEncoder(w).Encode(configuration.PollResponse{Region: relayRegion, Update: &update}) // fails where the subscriber has disconnected
 }
 
-func (r *standInRelay) last() configuration.Poll {
+func (r *fakeRelay) last() configuration.Poll {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.polls) == 0 {
@@ -151,10 +151,10 @@
 	return s
 }
 
-// wantAim waits until a class has an aim.
-func wantAim(t *testing.T, s *Sidecar, class string, aim time.Duration) {
+// wantObjective waits until a class has an aim.
+func wantObjective(t *testing.T, s *Sidecar, class string, aim time.Duration) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("an aim of %v for %s", aim, class), func() bool { return s.dispatcher.Class(class).Aim == aim })
+	eventually(t, fmt.Sprintf("a latency objective of %v for %s", aim, class), func() bool { return s.dispatcher.Class(class).Aim == aim })
 }
 
 func upHeader(t *testing.T, s *Sidecar) http.Header {
@@ -168,7 +168,7 @@
 
 // A change takes force for the requests that begin after it; one in flight goes on by
 // the settings it began with. A service that is no longer there leaves the file's.
-func TestAimChangesInARunningSidecar(t *testing.T) {
+func TestLatencyObjectiveChangesInARunningSidecar(t *testing.T) {
 	t.Parallel()
 	const aim = 200 * time.Millisecond
 	came, release := make(chan struct{}, 2), make(chan struct{})
@@ -184,9 +184,9 @@
 	send(t, first, readRequest(firstID))
 	<-came
 	relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":200000,"late-worth":0}]}`)
-	wantAim(t, s, "read", aim)
+	wantObjective(t, s, "read", aim)
 	if r, _ := exchange(t, s, readRequest(newID())); r == nil || r.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a request after the change: found %v, wanted 503 at the end of its aim", r)
+		t.Errorf("a request after the change: found %v, wanted 503 after its latency objective", r)
 	}
 	time.Sleep(2 * aim) // far over the aim that it did not begin with
 	close(release)
@@ -194,7 +194,7 @@
 		t.Errorf("the request in flight: found %v %q, wanted its answer", r, body)
 	}
 	relay.drop(t)
-	wantAim(t, s, "read", 8*time.Second)
+	wantObjective(t, s, "read", 8*time.Second)
 }
 
 // Changes in quick order lose no request and run none twice.
@@ -224,7 +224,7 @@
 		aim := time.Duration(4000+n) * time.Millisecond
 		relay.put(t, "orders", fmt.Sprintf(`{"classes":[{"name":"act","aim-us":%d,"worth":%d,"late-worth":0.%d}]}`, aim.Microseconds(), n, n%10))
 		version = relay.put(t, "stock", fmt.Sprintf(`{"tenants":[{"name":"t0","quota-per-s":%d},{"name":"t%d","quota-per-s":50}]}`, n+1, 1+n%2))
-		wantAim(t, s, "act", aim)
+		wantObjective(t, s, "act", aim)
 	}
 	eventually(t, "all is acknowledged", func() bool { return relay.last().Version == version })
 	stop.Store(true)
@@ -282,7 +282,7 @@
 	relay := startRelay(t)
 	s := startFollowing(t, []string{relay.address(), closedAddress(t)}, nil, up.addr())
 	relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":5000000}]}`)
-	wantAim(t, s, "read", 5*time.Second)
+	wantObjective(t, s, "read", 5*time.Second)
 	bad := relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":1000000},{"name":"write"}]}`, "stock", `{"classes":[{"name":"act","aim-us":6000000}]}`)
 	eventually(t, "the rejection is reported", func() bool { return len(relay.last().Rejected) == 1 })
 	wanted := configuration.Rejection{Service: "orders", Version: bad, Reason: `classes[1].name: found "write", wanted a class that this sidecar has`}
@@ -294,7 +294,7 @@
 	}
 	wantServed(t, s)
 	relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":3000000}]}`)
-	wantAim(t, s, "read", 3*time.Second)
+	wantObjective(t, s, "read", 3*time.Second)
 	eventually(t, "the rejection has ended", func() bool { return relay.last().Rejected == nil })
 }
 
@@ -312,7 +312,7 @@
 	relay := startRelay(t)
 	s := startFollowing(t, []string{closedAddress(t), relay.address()}, nil, up.addr())
 	version := relay.put(t, "orders", `{"classes":[{"name":"read","aim-us":5000000}]}`)
-	wantAim(t, s, "read", 5*time.Second)
+	wantObjective(t, s, "read", 5*time.Second)
 	relay.end()
 	wantServed(t, s)
 	eventually(t, "the age grows", func() bool {
@@ -321,7 +321,7 @@
 		return err == nil && age > 300*time.Millisecond && h.Get("X-Configuration") == version.String()
 	})
 	if aim := s.dispatcher.Class("read").Aim; aim != 5*time.Second {
-		t.Errorf("after the relay's end: found an aim of %v, wanted the last that came, 5s", aim)
+		t.Errorf("after the relay's end: found a latency objective of %v, wanted the last one received, 5s", aim)
 	}
 	wantServed(t, s)
 }
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"syscall"
 	"testing"
@@ -30,105 +29,6 @@
 	tcpClosed   = 7
 )
 
-// lateUpstream is one to which no connection comes up until it is let: its queue of
-// connections is full, and the kernel drops what wants in, which asks again a
-// second later.
-type lateUpstream struct {
-	upstreamServer
-	fill []net.Conn
-}
-
-func startLate(t *testing.T, serve func(c net.Conn, r *http.Request, nth int64) bool) *lateUpstream {
-	t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f := os.NewFile(uintptr(fd), "late")
-	defer func() {
-		if err := f.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := unix.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.FileListener(f)
-	if err != nil {
-		t.Fatal(err)
-	}
-	u := &lateUpstream{upstreamServer: upstreamServer{ln: ln, serve: serve}}
-	t.Cleanup(func() {
-		ln.Close()
-		for _, c := range u.fill {
-			c.Close()
-		}
-	})
-	for len(u.fill) < 8 {
-		c, err := net.DialTimeout("tcp", u.addr(), 300*time.Millisecond)
-		if err != nil {
-			return u
-		}
-		u.fill = append(u.fill, c)
-	}
-	t.Fatal("the queue of connections does not fill")
-	return nil
-}
-
-// let takes what waits in the queue, and all that comes later.
-func (u *lateUpstream) let() {
-	for _, c := range u.fill {
-		c.Close()
-	}
-	go func() {
-		for {
-			c, err := u.ln.Accept()
-			if err != nil {
-				return
-			}
-			u.conns.Add(1)
-			go u.run(c)
-		}
-	}()
-}
-
-// dialled waits until a connection to it has been asked for and dropped.
-func (u *lateUpstream) dialled(t *testing.T) {
-	t.Helper()
-	port := u.ln.Addr().(*net.TCPAddr).Port
-	eventually(t, "a connection on its way", func() bool { return sockets(t, port, tcpSynSent) > 0 })
-}
-
-// sockets counts the connections of this machine to a port that are in a state,
-// localSockets those from it.
-func sockets(t *testing.T, port, state int) int {
-	t.Helper()
-	return inState(t, 2, port, state)
-}
-
-func localSockets(t *testing.T, port, state int) int {
-	t.Helper()
-	return inState(t, 1, port, state)
-}
-
-func inState(t *testing.T, end, port, state int) (n int) {
-	t.Helper()
-	text, err := os.ReadFile("/proc/net/tcp")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for line := range strings.SplitSeq(string(text), "\n") {
-		f := strings.Fields(line)
-		if len(f) > 3 && strings.HasSuffix(f[end], fmt.Sprintf(":%04X", port)) && f[3] == fmt.Sprintf("%02X", state) {
-			n++
-		}
-	}
-	return n
-}
-
 // startWith starts a sidecar whose configuration's text was changed, pairs of what
 // was there and what takes its place.
 func startWith(t *testing.T, changes []string, ups ...string) *Sidecar {
@@ -158,7 +58,7 @@
 
 // A keyed request that may have run is sent again within the group's window, and
 // the connection for that comes up after it: the request must not arrive there.
-func TestKeyedRepeatArrivesInItsWindowOrNever(t *testing.T) {
+func TestRetryWithKeyArrivesInItsWindowOrNever(t *testing.T) {
 	t.Parallel()
 	one := startUpstream(t, func(c net.Conn, _ *http.Request, _ int64) bool { return reset(c) })
 	late := startLate(t, good)
@@ -181,8 +81,8 @@
 			eventually(t, "the end of that", func() bool { return sockets(t, late.ln.Addr().(*net.TCPAddr).Port, tcpSynSent) == 0 })
 			continue
 		}
-		late.dialled(t)
-		late.let()
+		late.awaitDial(t)
+		late.accept()
 		if r, _ := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusBadGateway {
 			t.Errorf("answered %v, want a failure: it may have run", r)
 		}
@@ -194,20 +94,20 @@
 
 // An upstream is told to be draining while a connection to it is on its way up:
 // when it is there, nothing new may go out on it.
-func TestNothingGoesToADrainOnALateConnection(t *testing.T) {
+func TestNoAttemptReachesADrainingServerOnALateConnection(t *testing.T) {
 	t.Parallel()
 	late, other := startLate(t, good), startUpstream(t, good)
 	s := startSidecar(t, late.addr())
 	id := newID()
 	c := dialClient(t, s)
 	send(t, c, readRequest(id))
-	late.dialled(t)
+	late.awaitDial(t)
 	entry := func(addr string, state balance.ServerState) dispatch.Endpoint {
 		return dispatch.Endpoint{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Address: addr}
 	}
 	s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		entry(late.addr(), balance.Draining), entry(other.addr(), balance.Ready)}}, 0)
-	late.let()
+	late.accept()
 	if r, body := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusOK || body != id {
 		t.Fatalf("answered %v %q", r, body)
 	}
@@ -218,7 +118,7 @@
 
 // A client leaves while its request waits for a connection. Where the settings let
 // no attempt be cancelled, one that has not begun must not begin all the same.
-func TestNothingBeginsForAClientThatLeft(t *testing.T) {
+func TestNoAttemptStartsForADisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, may := range []string{"true", "false"} {
 		t.Run("cancel "+may, func(t *testing.T) {
@@ -227,10 +127,10 @@
 			s := startWith(t, []string{`"cancel":true`, `"cancel":` + may}, late.addr())
 			c := dialClient(t, s)
 			send(t, c, readRequest(newID()))
-			late.dialled(t)
+			late.awaitDial(t)
 			c.Close()
 			eventually(t, "the client's leave noticed", func() bool { return s.httpServer.Empty() })
-			late.let()
+			late.accept()
 			eventually(t, "the connection, or the end of its dial", func() bool {
 				open, idle := s.httpPool.Counts()
 				return open == idle || late.seen.Load() > 0
@@ -244,7 +144,7 @@
 
 // A client sends something behind its request and leaves: the bytes that wait must
 // not hide that it has gone.
-func TestLeaveBehindUnreadBytesIsNoticed(t *testing.T) {
+func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	t.Parallel()
 	for how, leave := range map[string]func(c net.Conn){
 		"close":      func(c net.Conn) { c.Close() },
@@ -272,7 +172,7 @@
 				select {
 				case <-ended:
 				case <-time.After(patience):
-					t.Fatal("the attempt goes on for a client that has left")
+					t.Fatal("the attempt continues for a disconnected client")
 				}
 			})
 		}
@@ -363,12 +263,12 @@
 			go func() { s.Drain(); close(drained) }()
 			rest, _ := io.ReadAll(c) // to the close
 			if len(rest) > 0 && !strings.HasPrefix(string(rest), "HTTP/1.1 4") {
-				t.Errorf("it was told %q", rest)
+				t.Errorf("found the answer %q, wanted none or 4xx", rest)
 			}
 			trySend(c, text[cut:])
 			await(t, drained)
 			if n := up.seen.Load(); n != 0 {
-				t.Errorf("%d requests were sent on after the close", n)
+				t.Errorf("found %d requests at the upstream after the close, wanted none", n)
 			}
 		})
 	}
@@ -400,7 +300,7 @@
 		late := startLate(t, good)
 		// The kernel asks again after 1, 3 and 7 s: the dial lasts longer than a slow machine needs.
 		s := startWith(t, []string{`"dial-timeout-us":2000000`, `"dial-timeout-us":60000000`, "8000000", "80000000"}, late.addr())
-		drainWith(t, s, func() { late.dialled(t) }, late.let)
+		drainWith(t, s, func() { late.awaitDial(t) }, late.accept)
 	})
 	t.Run("while no server is there", func(t *testing.T) {
 		t.Parallel()
@@ -474,7 +374,7 @@
 
 // An answer that its connection's end cuts off, or may have cut off, is none: by a FIN or a
 // reset, with a length or without, also where HTTP/1.0 ends all answers so.
-func TestCutAnswersAreNoAnswers(t *testing.T) {
+func TestTruncatedResponsesAreNoResponses(t *testing.T) {
 	t.Parallel()
 	for what, text := range map[string]string{
 		"nothing":                     "",
@@ -503,7 +403,7 @@
 				s := startSidecar(t, one.addr(), two.addr())
 				_, act := unsafeRequest("body")
 				if r, body := exchange(t, s, act); r == nil || r.StatusCode != http.StatusBadGateway || body != "failed\n" {
-					t.Errorf("the client was told %v %q", r, body)
+					t.Errorf("found the answer %v %q, wanted 502 failed", r, body)
 				}
 				if n := one.seen.Load() + two.seen.Load(); n != 1 {
 					t.Errorf("it ran %d times", n)
--- a/internal/sidecar/over_test.go
+++ b/internal/sidecar/over_test.go
@@ -9,12 +9,11 @@
 	"time"
 )
 
-// A server that holds as many connections as it takes turns away whatever comes
-// on one more, for as long as that one stays: it is used once. It covers also
-// servers, and what stands before them, that give a connection to one who can't
-// serve. It might harm where a full queue turned the first request away: a
-// connection more is opened then.
-func TestConnectionThatWasTurnedAwayAtOnceIsNotKept(t *testing.T) {
+// A server at its limit of connections rejects every request on a further one, for as
+// long as that stays open: it is used once. This covers load balancers, too, that pass a
+// connection to a server that can't serve. Where a full queue rejected the first request,
+// it costs a connection.
+func TestConnectionWithAnImmediateRejectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	first := ""              // the one connection that is served
--- a/internal/sidecar/overlay_test.go
+++ b/internal/sidecar/overlay_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// held is a version of a service's settings as it comes from a relay.
-func held(number uint32, text string) *resource {
+// received is a version of a service's settings as a relay sends it.
+func received(number uint32, text string) *resource {
 	return readResource(configuration.Resource{Service: "s", Version: configuration.NewVersion(1, number), Settings: []byte(text)})
 }
 
@@ -45,48 +45,48 @@
 	return strings.Join(parts, ", ")
 }
 
-func TestLayOver(t *testing.T) {
+func TestOverlaySettings(t *testing.T) {
 	const file = "read 100 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20"
-	good := held(1, `{"classes":[{"name":"read","aim-us":150000}]}`)
+	good := received(1, `{"classes":[{"name":"read","aim-us":150000}]}`)
 	for _, test := range []struct {
 		name     string
 		services []serviceState
 		wanted   string
 		rejected []string // the service and a part of the reason
 	}{
-		{"nothing held", []serviceState{{service: "s"}}, file, nil},
-		{"empty settings", []serviceState{{"s", held(1, `{}`), nil}}, file, nil},
-		{"aim, worth and late worth", []serviceState{{"s", held(1, `{"classes":[{"name":"put","aim-us":250000,"worth":7,"late-worth":0.25},{"name":"act","worth":0}]}`), nil}},
+		{"no resource", []serviceState{{service: "s"}}, file, nil},
+		{"empty settings", []serviceState{{"s", received(1, `{}`), nil}}, file, nil},
+		{"objective, weight and late weight", []serviceState{{"s", received(1, `{"classes":[{"name":"put","aim-us":250000,"worth":7,"late-worth":0.25},{"name":"act","worth":0}]}`), nil}},
 			"read 100 1 0.5, put 250 7 0.25, act 300 0 0.1, a=10, b=20", nil},
-		{"tenants replaced", []serviceState{{"s", held(1, `{"tenants":[{"name":"c","quota-per-s":5}]}`), nil}},
+		{"tenants replaced", []serviceState{{"s", received(1, `{"tenants":[{"name":"c","quota-per-s":5}]}`), nil}},
 			"read 100 1 0.5, put 200 2 0, act 300 3 0.1, c=5", nil},
-		{"tenants taken away", []serviceState{{"s", held(1, `{"tenants":[]}`), nil}},
+		{"tenants taken away", []serviceState{{"s", received(1, `{"tenants":[]}`), nil}},
 			"read 100 1 0.5, put 200 2 0, act 300 3 0.1", nil},
-		{"two services", []serviceState{{"s", held(1, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", held(2, `{"classes":[{"name":"act","worth":5}],"tenants":[{"name":"c","quota-per-s":1}]}`), nil}},
+		{"two services", []serviceState{{"s", received(1, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", received(2, `{"classes":[{"name":"act","worth":5}],"tenants":[{"name":"c","quota-per-s":1}]}`), nil}},
 			"read 100 4 0.5, put 200 2 0, act 300 5 0.1, c=1", nil},
-		{"unknown class", []serviceState{{"s", held(1, `{"classes":[{"name":"read","worth":4},{"name":"write","worth":4}]}`), nil}, {"t", held(2, `{"classes":[{"name":"act","worth":5}]}`), nil}},
+		{"unknown class", []serviceState{{"s", received(1, `{"classes":[{"name":"read","worth":4},{"name":"write","worth":4}]}`), nil}, {"t", received(2, `{"classes":[{"name":"act","worth":5}]}`), nil}},
 			"read 100 1 0.5, put 200 2 0, act 300 5 0.1, a=10, b=20", []string{`s: classes[1].name: found "write", wanted a class that this sidecar has`}},
-		{"unknown class, last good stays", []serviceState{{"s", held(2, `{"classes":[{"name":"write","worth":4}]}`), good}},
+		{"unknown class, last good stays", []serviceState{{"s", received(2, `{"classes":[{"name":"write","worth":4}]}`), good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{`s: classes[0].name: found "write"`}},
-		{"not JSON, last good stays", []serviceState{{"s", held(2, `{"classes":`), good}},
+		{"not JSON, last good stays", []serviceState{{"s", received(2, `{"classes":`), good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{"s: settings: found"}},
-		{"wants a roll", []serviceState{{"s", held(2, `{"limits":{}}`), good}},
+		{"wants a roll", []serviceState{{"s", received(2, `{"limits":{}}`), good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{"s: limits: found a change that takes effect at a restart only"}},
-		{"newer replaces the last good whole", []serviceState{{"s", held(2, `{"classes":[{"name":"read","worth":9}]}`), good}},
+		{"newer replaces the last good whole", []serviceState{{"s", received(2, `{"classes":[{"name":"read","worth":9}]}`), good}},
 			"read 100 9 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", nil},
-		{"class set by two, the first gets it", []serviceState{{"s", held(1, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", held(2, `{"classes":[{"name":"read","worth":5}]}`), nil}},
+		{"class set by two, the first gets it", []serviceState{{"s", received(1, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", received(2, `{"classes":[{"name":"read","worth":5}]}`), nil}},
 			"read 100 4 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{`t: classes[0].name: found "read" set by s too`}},
-		{"class set by two, the one in force keeps it", []serviceState{{"s", held(2, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", good, good}},
+		{"class set by two, the one in force keeps it", []serviceState{{"s", received(2, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", good, good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{`s: classes[0].name: found "read" set by t too`}},
-		{"tenants set by two", []serviceState{{"s", held(1, `{"tenants":[{"name":"c","quota-per-s":1}]}`), nil}, {"t", held(2, `{"tenants":[]}`), nil}},
+		{"tenants set by two", []serviceState{{"s", received(1, `{"tenants":[{"name":"c","quota-per-s":1}]}`), nil}, {"t", received(2, `{"tenants":[]}`), nil}},
 			"read 100 1 0.5, put 200 2 0, act 300 3 0.1, c=1", []string{"t: tenants: found them set by s too"}},
-		{"class moved in one update", []serviceState{{"s", held(3, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", held(3, `{}`), good}},
+		{"class moved in one update", []serviceState{{"s", received(3, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", received(3, `{}`), good}},
 			"read 100 4 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", nil},
-		{"class moved, but its holder's newest is bad", []serviceState{{"s", held(3, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", held(3, `{"x":1}`), good}},
+		{"class moved, but its holder's newest is bad", []serviceState{{"s", received(3, `{"classes":[{"name":"read","worth":4}]}`), nil}, {"t", received(3, `{"x":1}`), good}},
 			"read 150 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", []string{`s: classes[0].name: found "read" set by t too`, "t: x: found an unknown key"}},
-		{"an aim that no answer can keep", []serviceState{{"s", held(2, `{"classes":[{"name":"put","aim-us":2000}]}`), nil}},
+		{"an objective that no answer can meet", []serviceState{{"s", received(2, `{"classes":[{"name":"put","aim-us":2000}]}`), nil}},
 			file, []string{"s: classes[0]: found an aim of 2ms and nothing for late answers, wanted more than 2ms"}},
-		{"no aim, but late answers count", []serviceState{{"s", held(2, `{"classes":[{"name":"read","aim-us":0}]}`), nil}},
+		{"no objective, but late answers count", []serviceState{{"s", received(2, `{"classes":[{"name":"read","aim-us":0}]}`), nil}},
 			"read 0 1 0.5, put 200 2 0, act 300 3 0.1, a=10, b=20", nil},
 		{"removed", []serviceState{{"s", nil, nil}}, file, nil},
 	} {
@@ -137,7 +137,7 @@
 
 // Whatever comes in whatever order: each service has its newest settings in force, or
 // the last that were, and what is in force is what these say, and nothing else.
-func TestLayOverKeepsTheLastGood(t *testing.T) {
+func TestOverlayKeepsTheLastGood(t *testing.T) {
 	services := []string{"s", "t", "u", "v"}
 	rapid.Check(t, func(t *rapid.T) {
 		var changed overlayRecord
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -84,8 +84,7 @@
 	return ln
 }
 
-// startDiscovery names the upstreams in its whole list; its watches never
-// have news.
+// startDiscovery has the upstreams in its snapshot; its watches never report a change.
 func startDiscovery(t *testing.T, ups ...string) string {
 	t.Helper()
 	end := make(chan struct{})
@@ -158,7 +157,7 @@
 
 func newID() string { return fmt.Sprintf("id-%d", ids.Add(1)) }
 
-// readRequest is a request of the class that is safe to repeat.
+// readRequest is a request of the idempotent class.
 func readRequest(id string) string {
 	return "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Deadline: 6\r\n\r\n"
 }
@@ -212,7 +211,7 @@
 
 // Connections that never ask, or asked once and stay, must not keep the usual
 // client out, however many and however young they are.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -255,7 +254,7 @@
 		eventually(t, "it is idle", func() bool { return idleClients(s) >= min(len(all), spare) })
 	}
 	if n, err := io.Copy(io.Discard, all[0]); n > 0 || err != nil {
-		t.Errorf("the first one was told %d bytes, %v", n, err)
+		t.Errorf("the first client received %d bytes, %v", n, err)
 	}
 	for _, c := range all[1:] {
 		ask(c)
@@ -268,7 +267,7 @@
 }
 
 // A client that says nothing, or half of something, is let go.
-func TestHalfRequestsEnd(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -290,7 +289,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "no connection is kept", s.httpServer.Empty)
+	eventually(t, "no connection is open", s.httpServer.Empty)
 }
 
 // A slow client that makes progress is not cut off.
@@ -312,7 +311,7 @@
 }
 
 // A large body is turned away by its length, without reading it.
-func TestLargeBodyIsTurnedAway(t *testing.T) {
+func TestTooLargeBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -328,7 +327,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "the budget is whole again", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
 	wantServed(t, s)
 }
 
--- a/internal/sidecar/stale_test.go
+++ b/internal/sidecar/stale_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Upstreams that forget resting connections without a word cost a few requests,
-// not all that come after a rest.
+// Upstreams that drop idle connections without closing them cost a few requests, not every
+// one after an idle interval.
 func TestForgottenConnectionsAreNotUsed(t *testing.T) {
 	t.Parallel()
 	const kept = 150 * time.Millisecond
@@ -30,18 +30,18 @@
 		return good(c, r, 0)
 	})
 	s := startSidecar(t, up.addr())
-	ask := func() {
+	request := func() {
 		exchange(t, s, "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: "+newID()+"\r\nX-Deadline: 6\r\nContent-Length: 0\r\n\r\n")
 	}
-	for range 12 { // short rests, all well
-		ask()
+	for range 12 { // short intervals, no failure
+		request()
 		time.Sleep(10 * time.Millisecond)
 	}
 	const rounds = 16
 	for range rounds {
-		ask()
+		request()
 		time.Sleep(10 * time.Millisecond)
-		ask() // a success between, or the upstream would be out for its resets
+		request() // a success between, or the upstream would be out for its resets
 		time.Sleep(2 * kept)
 	}
 	if n := dead.Load(); n > rounds/2 {
--- a/internal/sidecar/unwritten_test.go
+++ b/internal/sidecar/unwritten_test.go
@@ -44,9 +44,9 @@
 	return u
 }
 
-// A connection that breaks with a request's first bytes has not got its last:
-// even one that must not run twice is sent again.
-func TestBreakBeforeTheLastByteIsMadeGood(t *testing.T) {
+// A connection that breaks with a request's first bytes has not received its last: even a
+// non-idempotent request is retried.
+func TestDisconnectBeforeTheLastByteIsRetried(t *testing.T) {
 	t.Parallel()
 	for framing := range unsafeRequests {
 		t.Run(framing, func(t *testing.T) {
@@ -69,7 +69,7 @@
 }
 
 // After the last byte it may have run, and is not sent again.
-func TestBreakAfterTheLastByteIsNot(t *testing.T) {
+func TestDisconnectAfterTheLastByteIsNotRetried(t *testing.T) {
 	t.Parallel()
 	for framing := range unsafeRequests {
 		t.Run(framing, func(t *testing.T) {
@@ -90,10 +90,10 @@
 
 // The last byte is held back in a sidecar as it starts: the tests above set
 // their own time.
-func TestLastByteIsHeldByDefault(t *testing.T) {
+func TestLastByteIsDelayedByDefault(t *testing.T) {
 	t.Parallel()
 	s := startSidecar(t, startUpstream(t, good).addr())
 	if hold := s.httpPool.Hold; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
-		t.Errorf("the last byte is held for %v, want about 1ms", hold)
+		t.Errorf("the last byte is delayed for %v, wanted about 1ms", hold)
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// spoilt are answers that are none, whatever follows.
-var spoilt = map[string]string{
+// malformedResponses are no responses, whatever follows.
+var malformedResponses = map[string]string{
 	"noise":               "\x01\x02\x03 no line end",
 	"another protocol":    "ICY 200 OK\r\nContent-Length: 1\r\n\r\na",
 	"no number":           "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\na",
@@ -28,12 +28,12 @@
 	"nothing but interim": strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 50),
 }
 
-// A spoilt answer fails the request, at once and for good where it may have
-// run, and is made good elsewhere where it may be repeated; its connection is
-// not used again, and no upstream is taken for dead because of one.
-func TestSpoiltAnswers(t *testing.T) {
+// A malformed response fails the request at once where it may have been executed, and is
+// retried elsewhere where it is idempotent; its connection is not reused, and no upstream
+// is ejected because of one.
+func TestMalformedResponses(t *testing.T) {
 	t.Parallel()
-	for name, text := range spoilt {
+	for name, text := range malformedResponses {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
@@ -46,7 +46,7 @@
 			s := startSidecar(t, up.addr())
 			r, body := exchange(t, s, "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: "+newID()+"\r\nX-Deadline: 6\r\nContent-Length: 1\r\n\r\nx")
 			if r == nil || r.StatusCode != http.StatusBadGateway || body != "failed\n" {
-				t.Fatalf("the client was told %v %.40q", r, body)
+				t.Fatalf("found the answer %v %.40q, wanted 502 failed", r, body)
 			}
 			eventually(t, "the connection is closed", func() bool { return poolOpen(s) == 0 })
 			wantServed(t, s)
@@ -78,10 +78,10 @@
 	}
 }
 
-// Good answers bring more than belongs to them: interim ones ahead, a second
-// copy, noise or the rest of nothing behind, at once or a little later. The
-// client gets its own answer, and the next client not what came late.
-func TestMoreThanTheAnswer(t *testing.T) {
+// Good responses come with other bytes: interim responses before them, a second copy or
+// noise behind, at once or a little later. The client gets its own response, and the next
+// client nothing of what came late.
+func TestBytesBehindTheResponse(t *testing.T) {
 	t.Parallel()
 	for name, behind := range map[string]string{"a copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", "noise": "\x00\xff\x01"} {
 		for _, late := range []bool{false, true} {
@@ -108,15 +108,15 @@
 					<-all
 				}
 				if n := up.conns.Load(); n != 20 {
-					t.Errorf("20 answers with more behind came on %d connections", n)
+					t.Errorf("20 responses with bytes behind: found %d connections, wanted 20", n)
 				}
 			})
 		}
 	}
 }
 
-// A connection is kept where the answer was clean.
-func TestCleanConnectionIsKept(t *testing.T) {
+// A connection is reused after a clean response.
+func TestCleanConnectionIsReused(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
--- a/internal/sidecar/usual_test.go
+++ b/internal/sidecar/usual_test.go
@@ -42,9 +42,8 @@
 	close(all)
 }
 
-// Upstreams at which resets are the usual thing stay in use, also those that see
-// two in a row.
-func TestUsualResetsPutNobodyOut(t *testing.T) {
+// Upstreams with frequent resets stay in use, also those with two in a row.
+func TestFrequentResetsEjectNoUpstream(t *testing.T) {
 	t.Parallel()
 	var hold atomic.Bool
 	end := make(chan bool)
@@ -82,6 +81,6 @@
 		eventually(t, "the request is at an upstream", func() bool { return held[0].Load()+held[1].Load() == n })
 	}
 	if a, b := held[0].Load(), held[1].Load(); a == 0 || b == 0 {
-		t.Errorf("the upstreams hold %d and %d requests", a, b)
+		t.Errorf("found %d and %d requests at the upstreams, wanted some at each", a, b)
 	}
 }
