--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -9,15 +9,15 @@
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // upstreamOpener returns how upstreams are opened: by the scheme of their address, over
 // HTTP/1.1 without one. Sockets for CoAP are taken from the upstreams' share, one for
 // each server.
-func upstreamOpener(config *Config, section *operator.CoAP, httpPool *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
-	if section == nil || !section.Servers {
+func upstreamOpener(config *Config, section *operatorconfig.CoAP, httpPool *httpupstream.Pool) (open func(string, int64) dispatch.Upstream, schemes []string, err error) {
+	if section == nil || !section.Upstreams {
 		for _, endpoint := range config.KnownEndpoints.Endpoints {
 			if strings.HasPrefix(endpoint.Address, coapupstream.Scheme) {
 				return nil, nil, fmt.Errorf("known: %s: found the address %q, wanted one without coap.servers", endpoint.ID, endpoint.Address)
--- a/internal/sidecar/entrypoint/handover.go
+++ b/internal/sidecar/entrypoint/handover.go
@@ -4,22 +4,22 @@
 	"errors"
 	"log/slog"
 
-	"otterspring/internal/handover"
 	"otterspring/internal/sidecar"
+	"otterspring/internal/sidecar/handover"
 )
 
 // contactPredecessor receives the sockets and the state of a process that offers its
 // listener, if there is one, and puts them into the options.
 func (p *process) contactPredecessor(config *sidecar.Config, options *sidecar.Options) error {
 	settings := p.operatorFile.Handover
-	predecessor, err := handover.Take(settings.Socket, config.Listen, settings.Ready)
-	if err != nil && !errors.Is(err, handover.ErrNobody) {
+	predecessor, err := handover.Request(settings.Socket, config.Listen, settings.StepTimeout)
+	if err != nil && !errors.Is(err, handover.ErrNoPredecessor) {
 		return err
 	}
 	if predecessor != nil {
 		p.predecessor = predecessor
-		options.Listener, options.CoAPSocket = predecessor.Listener, predecessor.Packets
-		options.EndpointList, options.Paused = predecessor.Held, true
+		options.Listener, options.CoAPSocket = predecessor.Listener, predecessor.CoAPSocket
+		options.EndpointList, options.Paused = predecessor.EndpointList, true
 	}
 	return nil
 }
@@ -28,7 +28,7 @@
 // listener to a successor.
 func (p *process) takeOver(config *sidecar.Config) error {
 	if p.predecessor != nil {
-		if err := p.predecessor.Ready(); err != nil {
+		if err := p.predecessor.AnnounceReady(); err != nil {
 			return err
 		}
 	}
@@ -37,28 +37,28 @@
 	// been accepted yet, and the predecessor continues.
 	settings := p.operatorFile.Handover
 	var err error
-	if p.offer, err = handover.NewOffer(settings.Socket, p.sidecar, settings.Ready); err != nil {
+	if p.offer, err = handover.NewOffer(settings.Socket, p.sidecar, settings.StepTimeout); err != nil {
 		return err
 	}
 	if p.predecessor == nil {
 		return nil
 	}
 	p.sidecar.Resume()
-	if err := p.predecessor.Taken(); err != nil {
+	if err := p.predecessor.AnnounceAccepting(); err != nil {
 		p.offer.Close()
 		p.sidecar.DrainForSuccessor(nil) // what was accepted meanwhile
 		return err
 	}
 	slog.Info("listener taken over", "listen", config.Listen)
-	p.sidecar.OnEndpointList(p.predecessor.Tell)
+	p.sidecar.OnEndpointList(p.predecessor.SendEndpointList)
 	go p.awaitPredecessor(p.predecessor)
 	return nil
 }
 
 // awaitPredecessor receives what is reported to the predecessor until that one ends. It
 // runs in a separate goroutine.
-func (p *process) awaitPredecessor(predecessor *handover.Taking) {
-	predecessor.Await(p.sidecar.Hear, p.sidecar.InheritCoAP)
+func (p *process) awaitPredecessor(predecessor *handover.Predecessor) {
+	predecessor.AwaitDrained(p.sidecar.Hear, p.sidecar.InheritCoAP)
 	p.sidecar.PredecessorEnded()
 	p.sidecar.OffEndpointList()
 }
@@ -74,21 +74,21 @@
 
 // handOver drains for a successor that has taken over. It returns false if the successor
 // ended meanwhile and this process serves again.
-func (p *process) handOver(successor *handover.Giving) bool {
+func (p *process) handOver(successor *handover.Successor) bool {
 	slog.Info("listener handed over; draining")
 	p.detachPredecessor()
 	p.offer.Close()
-	p.sidecar.OnEndpointList(successor.Tell)
-	successor.Tell(p.sidecar.Held()) // includes what has arrived since the handover began
+	p.sidecar.OnEndpointList(successor.SendEndpointList)
+	successor.SendEndpointList(p.sidecar.Held()) // includes what has arrived since the handover began
 	if state := p.sidecar.HandOverCoAP(); state != nil {
-		successor.Coap(state)
+		successor.SendCoAPState(state)
 	}
-	if p.sidecar.DrainForSuccessor(successor.Gone()) {
-		successor.Done()
+	if p.sidecar.DrainForSuccessor(successor.Disconnected()) {
+		successor.AnnounceDrained()
 		return true
 	}
 	p.sidecar.OffEndpointList()
-	successor.Drop()
+	successor.Close()
 	slog.Warn("successor ended before the drain was complete; serving again")
 	if err := p.offer.Open(); err != nil {
 		slog.Error("listener is not offered to a successor any more", "error", err)
--- a/internal/sidecar/entrypoint/process.go
+++ b/internal/sidecar/entrypoint/process.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"otterspring/internal/handover"
 	"otterspring/internal/inject"
 	"otterspring/internal/notify"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar"
+	"otterspring/internal/sidecar/handover"
+	"otterspring/internal/sidecar/operatorconfig"
 )
 
 // configVariable is the environment variable with the path of the configuration file.
@@ -22,11 +22,11 @@
 	operatorPath string // empty for no operator's file
 	reload       chan os.Signal
 	stop         chan os.Signal
-	operatorFile operator.File // as last loaded
+	operatorFile operatorconfig.File // as last loaded
 	sidecar      *sidecar.Sidecar
-	notifier     *notify.Notifier // nil where it is off
-	offer        *handover.Offer  // nil where it is off
-	predecessor  *handover.Taking // the process that this one took over from; nil for none, and after its end
+	notifier     *notify.Notifier      // nil where it is off
+	offer        *handover.Offer       // nil where it is off
+	predecessor  *handover.Predecessor // the process that this one took over from; nil for none, and after its end
 }
 
 // run starts the sidecar and serves until SIGTERM, SIGINT or a handover, and the drain
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if p.operatorFile, err = operator.Load(p.operatorPath); err != nil {
+	if p.operatorFile, err = operatorconfig.Load(p.operatorPath); err != nil {
 		return err
 	}
 	if p.operatorFile.Notify.Systemd {
@@ -65,13 +65,13 @@
 			return err
 		}
 	}
-	if p.operatorFile.CoAP.Listen != "" || p.operatorFile.CoAP.Servers {
+	if p.operatorFile.CoAP.Listen != "" || p.operatorFile.CoAP.Upstreams {
 		options.CoAP = &p.operatorFile.CoAP
 	}
 	if list := p.operatorFile.List; list.Proxy != "" {
 		options.ListProxy, options.ListSource, options.FailoverDelay = list.Proxy, list.Source, sidecar.FailoverDelay(config.Name, list.Jitter)
 	}
-	if p.operatorFile.Configuration.On() {
+	if p.operatorFile.Configuration.Enabled() {
 		options.Configuration = &p.operatorFile.Configuration
 	}
 	started, err := sidecar.StartWith(config, options)
@@ -79,7 +79,7 @@
 		return err
 	}
 	p.sidecar = started
-	p.sidecar.SetDrainTimeout(p.operatorFile.Drain.Finish)
+	p.sidecar.SetDrainTimeout(p.operatorFile.Drain.Timeout)
 	if !withHandover {
 		return nil
 	}
@@ -88,9 +88,9 @@
 
 // serve handles signals and handovers until the process ends.
 func (p *process) serve() error {
-	var given <-chan *handover.Giving
+	var given <-chan *handover.Successor
 	if p.offer != nil {
-		given = p.offer.Given()
+		given = p.offer.Successors()
 	}
 	for {
 		select {
@@ -123,18 +123,18 @@
 		p.sidecar.CountReload(false)
 		return
 	}
-	file, err := operator.Load(p.operatorPath)
+	file, err := operatorconfig.Load(p.operatorPath)
 	if err != nil {
 		slog.Error("reload failed; configuration and operator file are unchanged", "error", err)
 		p.sidecar.CountReload(false)
 		return
 	}
 	p.sidecar.Reload(config)
-	if keys := p.operatorFile.WaitsForStart(&file); len(keys) > 0 {
+	if keys := p.operatorFile.RestartRequired(&file); len(keys) > 0 {
 		slog.Warn("operator file changed; keys take effect at the next start", "keys", strings.Join(keys, ", "))
 	}
 	p.operatorFile.Drain = file.Drain
-	p.sidecar.SetDrainTimeout(file.Drain.Finish)
+	p.sidecar.SetDrainTimeout(file.Drain.Timeout)
 	p.sidecar.CountReload(true)
 }
 
--- a/internal/sidecar/liveconfig.go
+++ b/internal/sidecar/liveconfig.go
@@ -9,7 +9,7 @@
 
 	"otterspring/balance"
 	"otterspring/internal/fleet/configuration"
-	"otterspring/internal/operator"
+	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
 )
 
@@ -23,12 +23,12 @@
 
 // newConfigClient returns the client that subscribes to the services of the operator's
 // file and applies their configuration with reconfigure.
-func newConfigClient(config *Config, section *operator.Configuration, reconfigure func([]balance.Class, []balance.Tenant) error) *subscription.Client {
+func newConfigClient(config *Config, section *operatorconfig.Configuration, reconfigure func([]balance.Class, []balance.Tenant) error) *subscription.Client {
 	live := &liveSettings{file: config.Settings, reconfigure: reconfigure}
 	for _, service := range section.Services {
 		live.services = append(live.services, serviceState{service: service})
 	}
-	name := section.Name
+	name := section.SubscriberName
 	if name == "" {
 		name = config.Name
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -25,9 +25,9 @@
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpfront"
 	"otterspring/internal/httpupstream"
-	"otterspring/internal/operator"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
 )
 
@@ -62,7 +62,7 @@
 	// configuration's, which is older.
 	EndpointList []byte
 	// CoAP is the operator file's section on CoAP, nil for none.
-	CoAP *operator.CoAP
+	CoAP *operatorconfig.CoAP
 	// CoAPSocket is the CoAP socket of the predecessor, nil to open one.
 	CoAPSocket *net.UDPConn
 	// ListProxy is the address of a local proxy that relays the list of the discovery
@@ -73,7 +73,7 @@
 	// Configuration is the operator file's section on the configuration of services, nil
 	// for none. A sidecar begins with its own file's settings, whatever the predecessor
 	// had received.
-	Configuration *operator.Configuration
+	Configuration *operatorconfig.Configuration
 	// Paused starts without accepting connections, until Resume.
 	Paused bool
 }
