--- /dev/null
+++ b/internal/httpupstream/forms_test.go
@@ -0,0 +1,115 @@
+package httpupstream
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"otterspring/internal/sidecar/dispatch"
+)
+
+var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
+
+// compareWithFile fails the test where got is not what the file in testdata holds.
+func compareWithFile(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGuards {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	found, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(found), len(wanted)) {
+		if found[i] != wanted[i] {
+			t.Fatalf("%s:%d: found %s, wanted %s", path, i+1, found[i], wanted[i])
+		}
+	}
+	t.Fatalf("%s: found %d lines, wanted %d", path, len(found), len(wanted))
+}
+
+// visible writes line ends so that a file shows them.
+func visible(text string) string { return strings.ReplaceAll(text, "\r\n", "<CRLF>\n") }
+
+// Requests are written and read back, byte for byte, as recorded.
+func TestFormOfRequests(t *testing.T) {
+	var text strings.Builder
+	for _, m := range []dispatch.Message{
+		{Target: "/read?a=1", ID: "id-1", Safe: true},
+		{Target: "/act", ID: "id-2", IdempotencyKey: "k", Tenant: "t", AffinityKey: "s", ContentType: "text/plain", IsRetry: true},
+	} {
+		var received atomic.Int64
+		var body *dispatch.Body
+		if !m.Safe {
+			body = dispatch.NewBody(dispatch.NewBudget(100), &received)
+			if err := body.Fill(strings.NewReader("hello"), 5); err != nil {
+				t.Fatal(err)
+			}
+		}
+		a := &attempt{Attempt: &dispatch.Attempt{Request: &dispatch.Request{Native: headOf(m, body.Len()), Body: body}}}
+		front, last := a.text(1234567 * time.Microsecond)
+		for _, part := range front {
+			text.Write(part)
+		}
+		fmt.Fprintf(&text, "|%s\n", last)
+		fmt.Fprintf(&text, "read back the same: %t\n", headOf(m, body.Len()).Neutral() == m)
+	}
+	compareWithFile(t, "requests.txt", visible(text.String()))
+}
+
+// What each form of a response says of its attempt is as recorded.
+func TestFormOfResponses(t *testing.T) {
+	var text strings.Builder
+	for _, raw := range []string{
+		"", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", "HTTP/1.1 200 OK\r\n\r\nab",
+		"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nab", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n", "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+		strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 8), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 503 x\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 504 x\r\nX-Not-Run: 1\r\nContent-Length: 1\r\n\r\na", "HTTP/1.1 500 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 429 x\r\nContent-Length: 9\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Le",
+		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", "HTTP/1.1 101 x\r\n\r\n",
+	} {
+		var response fasthttp.Response
+		reader := bufio.NewReaderSize(strings.NewReader(raw), readBuffer)
+		err := readAnswer(&response, reader)
+		fmt.Fprintf(&text, "%q: failed %t, status %d, close %t, left %d\n", raw[:min(len(raw), 90)], err != nil, answerStatus(&response, err), response.ConnectionClose(), reader.Buffered())
+	}
+	compareWithFile(t, "responses.txt", text.String())
+}
+
+// What is learnt of stale connections from seeded random uses is as recorded.
+func TestStalenessIsTheRecordedOne(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(10) {
+		rng := rand.New(rand.NewPCG(seed, 0))
+		now := time.Unix(1764748800, 0)
+		var s staleness
+		cutoff := time.Duration(1+rng.IntN(3000)) * time.Millisecond
+		for range 60 {
+			for range rng.IntN(30) {
+				now = now.Add(time.Duration(rng.IntN(200)) * time.Millisecond)
+				rest := time.Duration(rng.IntN(5000)) * time.Millisecond
+				s.learn(now, rest, rest > cutoff && rng.IntN(4) > 0 || rng.IntN(30) == 0)
+			}
+			fmt.Fprintf(&text, "%v ", s.limit(now, 4600*time.Millisecond))
+		}
+		text.WriteString("\n")
+	}
+	compareWithFile(t, "staleness.txt", text.String())
+}
