--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -20,8 +20,8 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/balance"
-	"otterspring/internal/httpupstream"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpupstream"
 )
 
 const (
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -44,7 +44,7 @@
 	dir := filepath.ToSlash(filepath.Dir(file))
 	more := map[string][]string{
 		"balance":                          {"./internal/lab/mutant"},
-		"internal/httpupstream":            {"./internal/sidecar", "./internal/sidecar/entrypoint"},
+		"internal/sidecar/httpupstream":    {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/httpfront":               {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery":       {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/fleet/endpointlist":      {"./internal/fleet/supervisor"},
@@ -53,7 +53,7 @@
 		"internal/sidecar/dispatch":        {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar":                 {"./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery/drain": {"./internal/sidecar"},
-		"internal/sidecar/handover":                {"./internal/sidecar/entrypoint"},
+		"internal/sidecar/handover":        {"./internal/sidecar/entrypoint"},
 		"internal/lab/audit":               {"./internal/lab/standin/clients"},
 		"internal/fleet/supervisor":        {"./internal/lab/rig"},
 		"internal/fleet/lifecycle":         {"./internal/fleet/supervisor", "./internal/lab/rig"},
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/httpupstream"
 	"otterspring/internal/lab/cost"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpupstream"
 	"otterspring/internal/wire"
 )
 
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -8,8 +8,8 @@
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpfront"
-	"otterspring/internal/httpupstream"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpupstream"
 	"otterspring/internal/sidecar/operatorconfig"
 )
 
--- a/internal/httpupstream/forms_test.go
+++ b/internal/sidecar/httpupstream/forms_test.go
@@ -63,11 +63,11 @@
 			}
 		}
 		a := &attempt{Attempt: &dispatch.Attempt{Request: &dispatch.Request{Native: headOf(m, body.Len()), Body: body}}}
-		front, last := a.text(1234567 * time.Microsecond)
+		front, lastByte := a.encode(1234567 * time.Microsecond)
 		for _, part := range front {
 			text.Write(part)
 		}
-		fmt.Fprintf(&text, "|%s\n", last)
+		fmt.Fprintf(&text, "|%s\n", lastByte)
 		fmt.Fprintf(&text, "read back the same: %t\n", headOf(m, body.Len()).Neutral() == m)
 	}
 	compareWithFile(t, "requests.txt", visible(text.String()))
@@ -86,9 +86,9 @@
 		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", "HTTP/1.1 101 x\r\n\r\n",
 	} {
 		var response fasthttp.Response
-		reader := bufio.NewReaderSize(strings.NewReader(raw), readBuffer)
-		err := readAnswer(&response, reader)
-		fmt.Fprintf(&text, "%q: failed %t, status %d, close %t, left %d\n", raw[:min(len(raw), 90)], err != nil, answerStatus(&response, err), response.ConnectionClose(), reader.Buffered())
+		reader := bufio.NewReaderSize(strings.NewReader(raw), readBufferSize)
+		err := readResponse(&response, reader)
+		fmt.Fprintf(&text, "%q: failed %t, status %d, close %t, left %d\n", raw[:min(len(raw), 90)], err != nil, statusOf(&response, err), response.ConnectionClose(), reader.Buffered())
 	}
 	compareWithFile(t, "responses.txt", text.String())
 }
@@ -104,8 +104,8 @@
 		for range 60 {
 			for range rng.IntN(30) {
 				now = now.Add(time.Duration(rng.IntN(200)) * time.Millisecond)
-				rest := time.Duration(rng.IntN(5000)) * time.Millisecond
-				s.learn(now, rest, rest > cutoff && rng.IntN(4) > 0 || rng.IntN(30) == 0)
+				idleTime := time.Duration(rng.IntN(5000)) * time.Millisecond
+				s.record(now, idleTime, idleTime > cutoff && rng.IntN(4) > 0 || rng.IntN(30) == 0)
 			}
 			fmt.Fprintf(&text, "%v ", s.limit(now, 4600*time.Millisecond))
 		}
--- /dev/null
+++ b/internal/sidecar/httpupstream/pool_test.go
@@ -0,0 +1,68 @@
+package httpupstream
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"otterspring/balance"
+	"otterspring/internal/wire"
+)
+
+// An idle connection is out of use some time before its upstream closes it: a request that
+// overlaps the close may have been executed.
+func TestIdleLimitIsBelowTheUpstreams(t *testing.T) {
+	for setting, want := range map[time.Duration]time.Duration{5 * time.Second: 4600 * time.Millisecond, 500 * time.Millisecond: 250 * time.Millisecond} {
+		if got := New(wire.Conns{Idle: setting}, 8).maxIdle; got != want {
+			t.Errorf("upstreams close after %v: found a limit of %v, wanted %v", setting, got, want)
+		}
+	}
+}
+
+// A connection to an upstream that moved or restarted is not reused, nor is one that is
+// returned after that.
+func TestRetiredUpstreamsKeepNoConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	pool := New(wire.Conns{Idle: 5 * time.Second}, 8)
+	u := &upstream{address: listener.Addr().String()}
+	open := func() *conn {
+		connection, err := net.Dial("tcp", u.address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, err := newConn(connection, u)
+		if err != nil {
+			t.Fatal(err)
+		}
+		pool.open++
+		return c
+	}
+	before, after := open(), open()
+	pool.putIdle(before)
+	pool.retire(u)
+	pool.putIdle(after)
+	for _, c := range []*conn{before, after} {
+		if _, err := c.Write([]byte("x")); err == nil {
+			t.Error("a connection to an upstream that moved is still open")
+		}
+	}
+	if len(u.idle) != 0 || pool.open != 0 {
+		t.Errorf("found %d idle and %d counted, wanted none", len(u.idle), pool.open)
+	}
+}
+
+// Lack of the sidecar's own descriptors says nothing about the upstreams.
+func TestLocalFaultIsNotTheUpstreams(t *testing.T) {
+	pool := New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 0)
+	a := &attempt{upstream: pool.Open("127.0.0.1:1", 0).(*upstream)}
+	if c, status := a.connect(); c != nil || status != balance.NeverSent {
+		t.Errorf("without descriptors: found %v and status %d, wanted none and NeverSent", c, status)
+	}
+	if open, idle := pool.Counts(); open != 0 || idle != 0 {
+		t.Errorf("found %d open and %d idle, wanted none", open, idle)
+	}
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -24,9 +24,9 @@
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
 	"otterspring/internal/httpfront"
-	"otterspring/internal/httpupstream"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpupstream"
 	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
 )
--- a/internal/sidecar/unwritten_test.go
+++ b/internal/sidecar/unwritten_test.go
@@ -55,7 +55,7 @@
 			breaks.Store(true)
 			one, two := startBreaking(t, &breaks), startBreaking(t, &breaks)
 			s := startSidecar(t, one.addr(), two.addr())
-			s.httpPool.Hold = time.Second // for a slow machine
+			s.httpPool.LastByteDelay = time.Second // for a slow machine
 			id, text := unsafeRequest(framing)
 			if r, body := exchange(t, s, text); r == nil || r.StatusCode != http.StatusOK || body != id {
 				t.Errorf("answered %v %q", r, body)
@@ -93,7 +93,7 @@
 func TestLastByteIsDelayedByDefault(t *testing.T) {
 	t.Parallel()
 	s := startSidecar(t, startUpstream(t, good).addr())
-	if hold := s.httpPool.Hold; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
+	if hold := s.httpPool.LastByteDelay; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
 		t.Errorf("the last byte is delayed for %v, wanted about 1ms", hold)
 	}
 }
