--- /dev/null
+++ b/internal/httpfront/forms_test.go
@@ -0,0 +1,155 @@
+package httpfront
+
+import (
+	"bufio"
+	"errors"
+	"flag"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"otterspring/balance"
+	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpupstream"
+)
+
+var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
+
+// compareWithFile fails the test where got is not what the file in testdata holds.
+func compareWithFile(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGuards {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	found, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(found), len(wanted)) {
+		if found[i] != wanted[i] {
+			t.Fatalf("%s:%d: found %s, wanted %s", path, i+1, found[i], wanted[i])
+		}
+	}
+	t.Fatalf("%s: found %d lines, wanted %d", path, len(found), len(wanted))
+}
+
+var dateLine = regexp.MustCompile(`Date: [^\r]*\r\n`)
+
+// visible writes line ends so that a file shows them.
+func visible(text string) string { return strings.ReplaceAll(text, "\r\n", "<CRLF>\n") }
+
+// testFront is a front with a class of each effect, on a listener that nobody uses.
+func testFront(t *testing.T) *Front {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dispatcher, err := dispatch.New(dispatch.Settings{Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{
+		{Name: "read", Deadline: time.Second, Effect: balance.Repeat}, {Name: "put", Deadline: time.Second, Effect: balance.Keyed, Window: time.Second}, {Name: "act", Deadline: time.Second, Effect: balance.Once},
+	}}}, func() {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	front := New(listener.(*net.TCPListener), dispatcher, Settings{Serve: 4, Refuse: 1, Spare: 4, Bodies: 1 << 20})
+	t.Cleanup(func() {
+		if err := front.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return front
+}
+
+// What comes of each form of a request, and the head that goes on to upstreams, are as
+// recorded.
+func TestFormOfRequests(t *testing.T) {
+	front := testFront(t)
+	var text strings.Builder
+	const good = "X-Request-Id: id\r\n"
+	var raws []string
+	for _, name := range []string{"X-Request-Id", "Idempotency-Key", "X-Deadline", "X-Key", "X-Tenant", "X-Retry", "X-Cost-Hint"} {
+		raws = append(raws, "GET /read HTTP/1.1\r\n"+name+": 1\r\n"+name+": 1\r\n"+good)
+	}
+	raws = append(raws,
+		"GET /read HTTP/1.1\r\nHost: a\r\n"+good,
+		"GET /read/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Deadline: 2.5\r\nX-Tenant: t\r\nX-Key: k\r\nX-Cost-Hint: 1500\r\nX-Retry: 1\r\nConnection: keep-alive\r\nTE: x\r\nUpgrade: y\r\nExpect: z\r\nAccept: text/plain\r\n"+good,
+		"GET /read HTTP/1.0\r\nHost: a\r\nConnection: close\r\n"+good,
+		"GET /none HTTP/1.1\r\nHost: a\r\n"+good, "GET / HTTP/1.1\r\nHost: a\r\n"+good, "GET /read\x80 HTTP/1.1\r\nHost: a\r\n"+good,
+		"GET /read HTTP/1.1\r\nHost: a\r\n", "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: "+strings.Repeat("i", 257)+"\r\n", "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: a b\r\n",
+		"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"+good, "GET /act HTTP/1.1\r\nHost: a\r\n"+good, "GET /read HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"+good,
+		"POST /act HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Type: text/plain\r\n"+good, "POST /act HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"+good,
+		"POST /act HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n"+good, "POST /act HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n"+good,
+		"POST /put HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"+good, "POST /put HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nIdempotency-Key: k\r\n"+good,
+		"GET /read HTTP/1.1\r\nHost: a\r\nX-Deadline: 4.1\r\n"+good, "GET /read HTTP/1.1\r\nHost: a\r\nX-Deadline: 1e1\r\n"+good, "GET /read HTTP/1.1\r\nHost: a\r\nX-Deadline: \r\n"+good,
+		"GET /read HTTP/1.1\r\nHost: a\r\nX-Cost-Hint: -1\r\nX-Retry: 2\r\n"+good, "GET /read HTTP/1.1\r\nHost: a\r\nX-Key: a\r\nX-Key: b\r\n"+good, "GET /read HTTP/1.1\r\nHost: a\r\n"+good+good,
+		"GET /read HTTP/1.1\r\nHost: a\r\nX-Deadline: 1\r\nX-Deadline: 1\r\n"+good, "PUT /act HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"+good,
+	)
+	for _, raw := range raws {
+		var head fasthttp.RequestHeader
+		if err := head.Read(bufio.NewReader(strings.NewReader(raw + "\r\n"))); err != nil {
+			fmt.Fprintf(&text, "%.60q: unreadable\n", raw)
+			continue
+		}
+		request, bad := front.check(&head)
+		if bad != nil {
+			fmt.Fprintf(&text, "%.60q: %d %s\n", raw, bad.code, bad.why)
+			continue
+		}
+		fmt.Fprintf(&text, "%.60q: id %s class %s tenant %s key %s deadline %v work %v retry %t\n",
+			raw, request.ID, request.Class, request.Tenant, request.Key, request.Deadline, request.Work, request.Again)
+		text.Write(requestHead(&head, 7, head.IsGet()))
+	}
+	compareWithFile(t, "requests.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
+}
+
+// neutralResponse is one that came over another protocol.
+type neutralResponse struct{ body, contentType string }
+
+func (r neutralResponse) Body() []byte        { return []byte(r.body) }
+func (r neutralResponse) ContentType() []byte { return []byte(r.contentType) }
+func (neutralResponse) Release()              {}
+
+// What a client gets for each result is as recorded.
+func TestFormOfResponses(t *testing.T) {
+	var text strings.Builder
+	write := func(what string, answer func(*fasthttp.RequestCtx)) {
+		var ctx fasthttp.RequestCtx
+		ctx.Response.Header.SetNoDefaultContentType(true)
+		answer(&ctx)
+		ctx.Response.Header.SetNoDefaultContentType(true)
+		fmt.Fprintf(&text, "%s:\n%s%s\n", what, ctx.Response.Header.String(), ctx.Response.Body())
+	}
+	result := func(what string, r dispatch.Result) {
+		write(what, func(ctx *fasthttp.RequestCtx) { respond(ctx, &r) })
+	}
+	upstreamResponse := fasthttp.AcquireResponse()
+	raw := "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Load: 3\r\nX-Not-Run: 1\r\nKeep-Alive: 3\r\nTrailer: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
+	if err := upstreamResponse.Read(bufio.NewReader(strings.NewReader(raw))); err != nil {
+		t.Fatal(err)
+	}
+	result("an upstream's over HTTP", dispatch.Result{Kind: balance.Send, Response: (*httpupstream.Response)(upstreamResponse)})
+	result("an upstream's over another protocol", dispatch.Result{Kind: balance.Send, Response: neutralResponse{"hi", "text/x"}})
+	result("without a type", dispatch.Result{Kind: balance.Send, Response: neutralResponse{"hi", ""}})
+	result("shed", dispatch.Result{Kind: balance.Refuse})
+	result("shed with advice", dispatch.Result{Kind: balance.Refuse, RetryAfter: 1234567 * time.Microsecond})
+	result("failed", dispatch.Result{Kind: balance.Fail})
+	for _, err := range []error{dispatch.ErrBudgetExhausted, dispatch.ErrBodyTooLarge, fmt.Errorf("read: %w", os.ErrDeadlineExceeded), errors.New("broken chunk")} {
+		write("a body with "+err.Error(), func(ctx *fasthttp.RequestCtx) { rejectBody(ctx, err) })
+	}
+	write("too many connections", func(ctx *fasthttp.RequestCtx) { busy(ctx, "too many connections") })
+	compareWithFile(t, "responses.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
+}
