--- a/internal/httpfront/forms_test.go
+++ b/internal/httpfront/forms_test.go
@@ -82,7 +82,7 @@
 	const good = "X-Request-Id: id\r\n"
 	var raws []string
 	for _, name := range []string{"X-Request-Id", "Idempotency-Key", "X-Deadline", "X-Key", "X-Tenant", "X-Retry", "X-Cost-Hint"} {
-		raws = append(raws, "GET /read HTTP/1.1\r\n"+name+": 1\r\n"+name+": 1\r\n"+good)
+		raws = append(raws, "GET /read HTTP/1.1\r\nHost: a\r\n"+name+": 1\r\n"+name+": 1\r\n"+good)
 	}
 	raws = append(raws,
 		"GET /read HTTP/1.1\r\nHost: a\r\n"+good,
