--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -45,7 +45,7 @@
 	more := map[string][]string{
 		"balance":                          {"./internal/lab/mutant"},
 		"internal/sidecar/httpupstream":    {"./internal/sidecar", "./internal/sidecar/entrypoint"},
-		"internal/httpfront":               {"./internal/sidecar", "./internal/sidecar/entrypoint"},
+		"internal/sidecar/httpserver":      {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery":       {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/fleet/endpointlist":      {"./internal/fleet/supervisor"},
 		"internal/coap/exchange":           {"./internal/coap/gate"},
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -7,8 +7,8 @@
 
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/httpfront"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpserver"
 	"otterspring/internal/sidecar/httpupstream"
 	"otterspring/internal/sidecar/operatorconfig"
 )
@@ -45,7 +45,7 @@
 		}
 		return nil
 	}
-	settings := coapfront.FromOperator(options.CoAP, s.config.Settings.Classes, httpfront.DeadlineSlack, s.config.Seed, s.httpServer.Budget())
+	settings := coapfront.FromOperator(options.CoAP, s.config.Settings.Classes, httpserver.DeadlineSlack, s.config.Seed, s.httpServer.Budget())
 	settings.Conn = options.CoAPSocket
 	var err error
 	s.coapServer, err = coapfront.Listen(settings, s.dispatcher)
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -67,7 +67,7 @@
 		n := idleConns(s)
 		return poolOpen(s) == n && up.live.Load() == int64(n)
 	})
-	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Budget().Available()) == 8<<20 })
 	eventually(t, "no client connection is open", s.httpServer.Empty)
 
 	// An upstream that leaves takes its connections along.
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"otterspring/internal/httpfront"
+	"otterspring/internal/sidecar/httpserver"
 )
 
 const (
@@ -39,7 +39,7 @@
 	for _, class := range s.config.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return readCutoffDelay + httpfront.DeadlineSlack*longest + time.Second
+	return readCutoffDelay + httpserver.DeadlineSlack*longest + time.Second
 }
 
 // Drain shuts the sidecar down at a planned restart. It returns when every accepted
@@ -52,9 +52,9 @@
 	s.httpServer.SetDraining(true)
 	s.setCoAPDraining(true)
 	time.Sleep(idleCloseDelay)
-	s.httpServer.CutIdle()
+	s.httpServer.CloseIdle()
 	time.Sleep(readCutoffDelay - time.Since(started))
-	s.httpServer.Shut()
+	s.httpServer.StopListening()
 	s.awaitDrained(deadline, nil)
 	s.closeCoAP()
 	s.cancel()
@@ -71,9 +71,9 @@
 	// Connections with a request meanwhile are closed with its answer, the others between
 	// requests.
 	if sleepUnless(idleCloseDelay, abort) {
-		s.httpServer.CutIdle()
+		s.httpServer.CloseIdle()
 		if sleepUnless(readCutoffDelay-idleCloseDelay, abort) && s.awaitDrained(deadline, abort) {
-			s.httpServer.Leave()
+			s.httpServer.LeaveListener()
 			s.closeCoAP()
 			s.cancel()
 			return true
@@ -101,7 +101,7 @@
 func (s *Sidecar) awaitDrained(deadline time.Time, abort <-chan struct{}) bool {
 	timedOut := false
 	for !s.httpServer.Empty() || !s.coapIdle() {
-		s.httpServer.CutReading()
+		s.httpServer.CloseReading()
 		now := time.Now()
 		if !timedOut && !now.Before(deadline) {
 			timedOut = true
--- a/internal/httpfront/forms_test.go
+++ b/internal/sidecar/httpserver/forms_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -52,8 +52,8 @@
 // visible writes line ends so that a file shows them.
 func visible(text string) string { return strings.ReplaceAll(text, "\r\n", "<CRLF>\n") }
 
-// testFront is a front with a class of each effect, on a listener that nobody uses.
-func testFront(t *testing.T) *Front {
+// testServer returns a server with a class of each effect, which does not serve yet.
+func testServer(t *testing.T) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,19 +65,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := New(listener.(*net.TCPListener), dispatcher, Settings{Serve: 4, Refuse: 1, Spare: 4, Bodies: 1 << 20})
+	server := New(listener.(*net.TCPListener), dispatcher, Settings{MaxServed: 4, MaxRejected: 1, MaxIdle: 4, BodyBytes: 1 << 20})
 	t.Cleanup(func() {
-		if err := front.Close(); err != nil {
+		if err := server.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return front
+	return server
 }
 
-// What comes of each form of a request, and the head that goes on to upstreams, are as
+// What comes of each form of a request, and the head that is forwarded to upstreams, are as
 // recorded.
 func TestFormOfRequests(t *testing.T) {
-	front := testFront(t)
+	server := testServer(t)
 	var text strings.Builder
 	const good = "X-Request-Id: id\r\n"
 	var raws []string
@@ -104,9 +104,9 @@
 			fmt.Fprintf(&text, "%.60q: unreadable\n", raw)
 			continue
 		}
-		request, bad := front.check(&head)
-		if bad != nil {
-			fmt.Fprintf(&text, "%.60q: %d %s\n", raw, bad.code, bad.why)
+		request, invalid := server.validate(&head)
+		if invalid != nil {
+			fmt.Fprintf(&text, "%.60q: %d %s\n", raw, invalid.code, invalid.reason)
 			continue
 		}
 		fmt.Fprintf(&text, "%.60q: id %s class %s tenant %s key %s deadline %v work %v retry %t\n",
@@ -116,7 +116,7 @@
 	compareWithFile(t, "requests.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
 }
 
-// neutralResponse is one that came over another protocol.
+// neutralResponse is one that was received over another protocol.
 type neutralResponse struct{ body, contentType string }
 
 func (r neutralResponse) Body() []byte        { return []byte(r.body) }
@@ -150,6 +150,6 @@
 	for _, err := range []error{dispatch.ErrBudgetExhausted, dispatch.ErrBodyTooLarge, fmt.Errorf("read: %w", os.ErrDeadlineExceeded), errors.New("broken chunk")} {
 		write("a body with "+err.Error(), func(ctx *fasthttp.RequestCtx) { rejectBody(ctx, err) })
 	}
-	write("too many connections", func(ctx *fasthttp.RequestCtx) { busy(ctx, "too many connections") })
+	write("too many connections", func(ctx *fasthttp.RequestCtx) { rejectBusy(ctx, "too many connections") })
 	compareWithFile(t, "responses.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
 }
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -191,7 +191,7 @@
 		return true
 	})
 	s := startSidecar(t, up.addr())
-	s.httpServer.LingerFor = patience // for a slow machine
+	s.httpServer.LingerTimeout = patience // for a slow machine
 	// The client takes little at a time, so that most of the answer waits in the sidecar's kernel.
 	small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -23,9 +23,9 @@
 	"otterspring/balance"
 	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
-	"otterspring/internal/httpfront"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/httpserver"
 	"otterspring/internal/sidecar/httpupstream"
 	"otterspring/internal/sidecar/operatorconfig"
 	"otterspring/internal/subscription"
@@ -40,7 +40,7 @@
 type Sidecar struct {
 	dispatcher   *dispatch.Dispatcher
 	httpPool     *httpupstream.Pool
-	httpServer   *httpfront.Front
+	httpServer   *httpserver.Server
 	coapServer   *coapfront.Front // nil where it is off
 	watcher      *discovery.Watcher
 	configClient *subscription.Client // nil where it is off
@@ -134,14 +134,14 @@
 		}
 	}
 	served, rejected := clientSockets(config.Sockets)
-	settings := httpfront.Settings{
-		Serve: served, Refuse: rejected, Spare: config.Sockets / 6, Bodies: config.MemoryBytes / 8, Reloads: s.reloadCounts, Listed: s.listVersion,
+	settings := httpserver.Settings{
+		MaxServed: served, MaxRejected: rejected, MaxIdle: config.Sockets / 6, BodyBytes: config.MemoryBytes / 8, ReloadCounts: s.reloadCounts, ListVersion: s.listVersion,
 	}
 	if options.Configuration != nil {
 		s.configClient = newConfigClient(config, options.Configuration, s.dispatcher.Reconfigure)
-		settings.Configured = s.configurationStatus
+		settings.ConfigurationStatus = s.configurationStatus
 	}
-	s.httpServer = httpfront.New(listener, s.dispatcher, settings)
+	s.httpServer = httpserver.New(listener, s.dispatcher, settings)
 	return s.openCoAP(options)
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -263,7 +263,7 @@
 
 // idleClients counts the connections that asked and are idle.
 func idleClients(s *Sidecar) int {
-	return s.httpServer.Idle()
+	return s.httpServer.IdleConnections()
 }
 
 // A client that says nothing, or half of something, is let go.
@@ -327,7 +327,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Budget().Available()) == 8<<20 })
 	wantServed(t, s)
 }
 
