--- /dev/null
+++ b/internal/fleet/supervisor/wire_test.go
@@ -0,0 +1,341 @@
+package supervisor
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/internal/bootclock"
+	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/duty/list"
+	"otterspring/internal/fleet/everywhere"
+	"otterspring/internal/fleet/plan"
+	"otterspring/internal/keytest"
+	"otterspring/internal/logs"
+)
+
+var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures in testdata anew instead of comparing them")
+
+// The keys of all that a supervisor writes for others to read.
+func TestKeys(t *testing.T) {
+	t.Parallel()
+	keytest.Compare(t, filepath.Join("testdata", "keys.txt"), []keytest.Marshaled{
+		{Role: "fleet file", Encoding: "toml", Value: File{}},
+		{Role: "state file", Encoding: "json", Value: []saved{}},
+		{Role: "request of a leader to a host", Encoding: "json", Value: effect{}},
+		{Role: "response of a host to a leader", Encoding: "json", Value: told{}},
+		{Role: "host status at the council", Encoding: "json", Value: fact{}},
+	})
+}
+
+// wireValues are one value for each kind of message and file, with all fields set.
+func wireValues() map[string]any {
+	return map[string]any{
+		"state": &[]saved{
+			{Name: "n1", Listen: "127.0.0.1:20000", PID: 4711, Start: "123456", Order: "r0000002a", Program: "/bin/sidecar"},
+			{Name: "n2", Listen: "127.0.0.1:20001", PID: 0, Start: "", Order: "r0000002a", Program: "/bin/sidecar"},
+			{Name: "n3", Listen: "127.0.0.1:20002", PID: 4713, Start: "123458"},
+		},
+		"effect-look":    &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "look"},
+		"effect-restart": &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "restart", Instance: "n1", Order: "r0000002a", Program: "/bin/sidecar"},
+		"effect-reload":  &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "reload", Instance: "n1", Order: "r0000002a"},
+		"effect-list": &effect{Duty: "list:a", Owner: "h1.0a1b", Epoch: council.Epoch(9), Do: "list", List: &listPush{
+			Source: "discovery", From: 4, Text: json.RawMessage(`{"index":5,"snapshot":false,"endpoints":[]}`), Fresh: true,
+		}},
+		"told": &told{Refused: "no", Index: 5, Late: 2, Host: everywhere.Host{
+			Name: "h1", Zone: "a", Program: "/bin/sidecar", Rolling: "1 of 2",
+			Instances: []everywhere.Instance{{Name: "n1", Up: true, Order: "r0000002a", Failed: "r00000029"}, {Name: "n2"}},
+		}},
+		"told-empty": &told{},
+		"fact":       &fact{Zone: "a", Address: "127.0.0.1:7001", Instances: 2, Program: "/bin/sidecar"},
+	}
+}
+
+// Each message and file is read and written back as it stands in testdata.
+func TestWireFixtures(t *testing.T) {
+	t.Parallel()
+	for name, value := range wireValues() {
+		path := filepath.Join("testdata", name+".json")
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if *updateFixtures {
+			if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		want = bytes.TrimSpace(want)
+		if !bytes.Equal(text, want) {
+			t.Errorf("%s: written as\n%s, wanted\n%s", name, text, want)
+		}
+		read := reflect.New(reflect.TypeOf(value).Elem())
+		if err := json.Unmarshal(want, read.Interface()); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if !reflect.DeepEqual(read.Interface(), value) {
+			t.Errorf("%s: read as %+v, wanted %+v", name, read.Elem(), value)
+		}
+	}
+}
+
+// All settings of a fleet file, each with a value that is not its default.
+func TestFleetFileFixture(t *testing.T) {
+	t.Parallel()
+	text, err := os.ReadFile(filepath.Join("testdata", "fleet.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	path := filepath.Join(dir, "fleet.toml")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "base.json"), []byte(template), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	program(t, dir, "sidecar")
+	got, err := LoadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &File{
+		Path: path, Program: filepath.Join(dir, "sidecar"), Args: []string{"-operator", "{dir}/{name}.toml"},
+		Directory: filepath.Join(dir, "run"), Control: filepath.Join(dir, "control.sock"), Config: "base.json",
+		Count: 2, Name: "c{i}", Listen: "127.0.0.1:{port}", FirstPort: 21000,
+		Instances: []Instance{{Name: "single", Listen: "127.0.0.1:22000", Config: "base.json"}},
+		Start:     Start{Lines: 1000, CallLines: 10, ListLines: 20, Ready: 11 * time.Second},
+		Restart:   Restart{Mode: "handover", AtOnce: 3, EndWithin: 12 * time.Second, PauseAfter: 4},
+		Crash:     Crash{First: 13 * time.Millisecond, Most: 14 * time.Second, Loop: 6, Within: 15 * time.Second},
+		Alive:     Alive{Within: 16 * time.Second},
+		Council:   Council{Name: "world", Members: []string{"127.0.0.1:7000"}, Host: "h1", Zone: "a", Listen: "127.0.0.1:7001"},
+		List: ListFile{Discovery: "127.0.0.1:7002", Listen: "127.0.0.1:7003", Source: "other",
+			HeartbeatTimeout: 2 * time.Second, Jitter: 3 * time.Second, StalenessLimit: 5 * time.Second},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v, wanted\n%+v", got, want)
+	}
+}
+
+// rawCommand sends bytes to the control socket and returns the bytes of the answer.
+func rawCommand(t *testing.T, path, request string) string {
+	t.Helper()
+	c, err := net.Dial("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if _, err := io.WriteString(c, request); err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(bufio.NewReader(c))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// The control socket's requests and answers, what a process's environment says of
+// its fleet, and the state file that names it.
+func TestControlSocketAndEnvironment(t *testing.T) {
+	t.Parallel()
+	r := supervise(t, setup(t, 2, "sidecar", ""))
+	status := r.until(t, "2 instances, 2 up\n")
+	raw := rawCommand(t, r.file.Control, "status\n")
+	form := regexp.MustCompile(`^ok\nn1 {11}127\.\S+ +up {11}\d+\nn2 {11}127\.\S+ +up {11}\d+\n2 instances, 2 up\n`)
+	if !form.MatchString(raw) {
+		t.Errorf("status: %q", raw)
+	}
+	for _, exchange := range []struct{ request, want string }{
+		{"\n", `^error: [^\n]+\n$`},
+		{"dance\n", `^error: [^\n]*"dance"[^\n]*status, restart, reload, resume, cancel or stop\n$`},
+		{"restart n9\n", `^error: [^\n]*"n9"\n$`},
+		{"resume\n", `^error: [^\n]+\n$`},
+		{"cancel\n", `^error: [^\n]+\n$`},
+		{"reload n2 x\n", `^error: [^\n]+\n$`},
+		{"restart n1\n", `^ok\n[^\n]+\n$`},
+	} {
+		if got := rawCommand(t, r.file.Control, exchange.request); !regexp.MustCompile(exchange.want).MatchString(got) {
+			t.Errorf("%q: answered %q, wanted %s", exchange.request, got, exchange.want)
+		}
+	}
+	r.rolls(t, 1)
+	specs, err := r.file.Specs()
+	if err != nil {
+		t.Fatal(err)
+	}
+	pid := pids(status)["n2"][0]
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	environment := strings.Split(string(text), "\x00")
+	for _, want := range []string{
+		"OTTERSPRING_FLEET=" + r.file.Directory, "OTTERSPRING_ORDER=", "RELAY_NAME=n2", "RELAY_LISTEN=" + specs[1].Listen,
+		"RELAY_CONFIG=" + filepath.Join(r.file.Directory, "n2.json"),
+	} {
+		if !strings.Contains("\n"+strings.Join(environment, "\n")+"\n", "\n"+want+"\n") {
+			t.Errorf("the environment lacks %q: %q", want, environment)
+		}
+	}
+	state, err := os.ReadFile(filepath.Join(r.file.Directory, "state.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := fmt.Sprintf(`{"name":"n2","listen":%q,"pid":%d,"start":%q,"program":%q}`, specs[1].Listen, pid, startTime(pid), r.file.Program)
+	if !strings.Contains(string(state), want) {
+		t.Errorf("state %s, wanted %s in it", state, want)
+	}
+	if got := rawCommand(t, r.file.Control, "stop\n"); got != "ok\nstopping\n" {
+		t.Errorf("stop: %q", got)
+	}
+}
+
+// The requests of leaders as a host answers them over HTTP.
+func TestLeaderRequestsOverHTTP(t *testing.T) {
+	t.Parallel()
+	f, err := LoadFile(setup(t, 1, "sidecar", ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Council.Host, f.Council.Zone = "h1", "a"
+	s, err := New(f, logs.New(io.Discard, logs.Options{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() { done <- s.Run(t.Context()) }()
+	post := func(method, path, body string) (int, string) {
+		w := httptest.NewRecorder()
+		s.takeEffect(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+		return w.Code, strings.TrimSpace(w.Body.String())
+	}
+	const look = `{"duty":"roll","owner":"h2.1","epoch":7,"do":"look"}`
+	if code, text := post("GET", "/v1/effect", look); code != http.StatusNotFound {
+		t.Errorf("GET: %d %s", code, text)
+	}
+	if code, text := post("POST", "/v1/other", look); code != http.StatusNotFound {
+		t.Errorf("another path: %d %s", code, text)
+	}
+	if code, text := post("POST", "/v1/effect", "{"); code != http.StatusBadRequest {
+		t.Errorf("malformed: %d %s", code, text)
+	}
+	if code, text := post("POST", "/v1/effect", look); code != http.StatusOK ||
+		!regexp.MustCompile(`^\{"refused":"[^"]+","host":\{"host":"","zone":"","program":"","instances":null\},"late":1\}$`).MatchString(text) {
+		t.Errorf("before the council was heard: %d %s", code, text)
+	}
+	s.send(t.Context(), func(time.Duration) []plan.Action { s.fence.Hear("roll", council.Tenant{}); return nil })
+	want := fmt.Sprintf(`{"host":{"host":"h1","zone":"a","program":%q,"instances":[{"name":"n1","up":true}]},"late":1}`, f.Program)
+	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		code, text := post("POST", "/v1/effect", look)
+		if code == http.StatusOK && text == want {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatalf("look: %d\n%s, wanted\n%s", code, text, want)
+		}
+	}
+	restart := `{"duty":"roll","owner":"h2.1","epoch":7,"do":"restart","instance":"n1","order":"r1","program":"` + f.Program + `"}`
+	if code, text := post("POST", "/v1/effect", restart); code != http.StatusOK || strings.Contains(text, "refused") {
+		t.Errorf("restart: %d %s", code, text)
+	}
+	want = fmt.Sprintf(`{"host":{"host":"h1","zone":"a","program":%q,"instances":[{"name":"n1","up":true,"order":"r1"}]},"late":1}`, f.Program)
+	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		code, text := post("POST", "/v1/effect", look)
+		if code == http.StatusOK && text == want {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatalf("after the restart: %d\n%s, wanted\n%s", code, text, want)
+		}
+	}
+	for body, want := range map[string]string{
+		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"dance"}`:                                         `"dance"`,
+		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"restart","instance":"n9","order":"r2"}`:          `"n9\"`,
+		`{"duty":"roll","owner":"h2.1","epoch":6,"do":"look"}`:                                          `epoch`,
+		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"list","list":{"source":"s","from":0,"text":{}}}`: `list`,
+	} {
+		_, text := post("POST", "/v1/effect", body)
+		var answer struct{ Refused string }
+		if err := json.Unmarshal([]byte(text), &answer); err != nil || !strings.Contains(answer.Refused, strings.Trim(want, `\`)) && !strings.Contains(text, want) {
+			t.Errorf("%s: %s, wanted a refusal that names %s", body, text, want)
+		}
+	}
+	if text, err := Ask(f.Control, "stop"); err != nil || text != "stopping\n" {
+		t.Errorf("stop: %q %v", text, err)
+	}
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
+// The local endpoint answers a host's sidecars as discovery would.
+func TestLocalEndpointOverHTTP(t *testing.T) {
+	t.Parallel()
+	settings := list.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
+	p := &listProxy{
+		supervisor: &Supervisor{log: logs.New(io.Discard, logs.Options{})},
+		duty:       listDuty("a"),
+		cache:      list.NewCache("source"),
+		watcher:    list.NewWatcher(settings, "h1", bootclock.Now()),
+		changed:    make(chan struct{}),
+	}
+	get := func(method, target string) *httptest.ResponseRecorder {
+		w := httptest.NewRecorder()
+		p.ServeHTTP(w, httptest.NewRequest(method, target, nil))
+		return w
+	}
+	if w := get("GET", "/discovery/hosts"); w.Code != http.StatusServiceUnavailable {
+		t.Errorf("an empty cache: %d %s", w.Code, w.Body)
+	}
+	if w := get("POST", "/discovery/hosts"); w.Code != http.StatusNotFound {
+		t.Errorf("POST: %d", w.Code)
+	}
+	if w := get("GET", "/other"); w.Code != http.StatusNotFound {
+		t.Errorf("another path: %d", w.Code)
+	}
+	const snapshot = `{"index":5,"snapshot":true,"endpoints":[{"name":"s1","status":"active"}]}`
+	u, err := list.Decode([]byte(snapshot), "source", 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.apply(u, "test"); err != nil {
+		t.Fatal(err)
+	}
+	p.recordAnswer(nil)
+	for target, want := range map[string]string{
+		"/discovery/hosts":                       snapshot,
+		"/discovery/hosts?since=5&timeout_ms=10": `{"index":5,"snapshot":false,"endpoints":[]}`,
+	} {
+		w := get("GET", target)
+		if w.Code != http.StatusOK || w.Body.String() != want {
+			t.Errorf("%s: %d %s, wanted %s", target, w.Code, w.Body, want)
+		}
+		header := http.Header{
+			"Content-Type": {"application/json"}, "Content-Length": {fmt.Sprint(len(want))}, "X-List-Source": {"source"},
+		}
+		if got := w.Header(); !reflect.DeepEqual(got, header) {
+			t.Errorf("%s: headers %v, wanted %v", target, got, header)
+		}
+	}
+	if w := get("GET", "/discovery/hosts?since=6&timeout_ms=10"); w.Code != http.StatusServiceUnavailable {
+		t.Errorf("a version that is not known: %d %s", w.Code, w.Body)
+	}
+}
