--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -101,7 +101,7 @@
 }
 
 func askFleet(f *supervisor.File, out io.Writer, words ...string) error {
-	answer, err := supervisor.Ask(f.Control, words...)
+	answer, err := supervisor.SendCommand(f.Control, words...)
 	if err == nil {
 		_, err = io.WriteString(out, answer)
 	}
@@ -131,7 +131,7 @@
 func fleetWait(f *supervisor.File, out io.Writer) error {
 	last := ""
 	for {
-		text, err := supervisor.Ask(f.Control, "status")
+		text, err := supervisor.SendCommand(f.Control, "status")
 		if err != nil {
 			return err
 		}
@@ -165,14 +165,14 @@
 // it goes until it has ended.
 func restartEverywhere(f *supervisor.File, order everywhere.Order, names []string, wait bool, out io.Writer) error {
 	switch {
-	case f.Council.Name == "":
+	case f.Coordination.Name == "":
 		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", f.Path)
 	case len(names) > 0:
 		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, names[0])
 	case order.AtOnce < 1 || order.AtOnce > 100 || order.ZoneOnce < 0:
 		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to 100, and 0 or more", errUsage, order.AtOnce, order.ZoneOnce)
 	}
-	c := ask.NewClient(f.Council.Name, f.Council.Members)
+	c := ask.NewClient(f.Coordination.Name, f.Coordination.Members)
 	defer c.Close()
 	text, err := json.Marshal(order)
 	if err != nil {
@@ -181,7 +181,7 @@
 	id := fmt.Sprintf("r%08x", rand.Uint32())
 	for { // the order has a number: asked twice it is one
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		a, err := c.Do(ctx, ask.Question{Kind: council.Begin, ID: id, Duty: supervisor.Duty, Data: text})
+		a, err := c.Do(ctx, ask.Question{Kind: council.Begin, ID: id, Duty: supervisor.RolloutLease, Data: text})
 		cancel()
 		if errors.Is(err, ask.ErrUnknown) {
 			continue
@@ -211,7 +211,7 @@
 			return err
 		}
 		line := ""
-		if d := a.State.Duties[supervisor.Duty]; d != nil && d.Note != nil {
+		if d := a.State.Duties[supervisor.RolloutLease]; d != nil && d.Note != nil {
 			var n everywhere.Note
 			if json.Unmarshal(d.Note, &n) == nil && n.Order == id {
 				line = fmt.Sprintf("%d of %d by %s, epoch %v", n.Done, n.Of, d.Owner, d.Epoch)
--- a/internal/fleet/supervisor/alive.go
+++ b/internal/fleet/supervisor/alive.go
@@ -29,7 +29,7 @@
 // listen asks all instances that are up again and again, and tells the plan of
 // those that have not answered for alive.within. It ends with the supervisor.
 func (s *Supervisor) listen() {
-	within := s.file.Alive.Within
+	within := s.file.HealthCheck.Timeout
 	every := within / asksWithin
 	heard := map[one]time.Time{}
 	tick := time.NewTicker(every)
@@ -56,7 +56,7 @@
 			case answered[k] || !known:
 				at = now
 			case now.Sub(at) >= within:
-				s.send(s.ctx, func(t time.Duration) []plan.Action { return s.plan.Silent(t, o.i, o.id, within) })
+				s.enqueue(s.ctx, func(t time.Duration) []plan.Action { return s.plan.Silent(t, o.i, o.id, within) })
 				at = now // killed or not, it has its time anew
 			}
 			next[o] = at
@@ -68,7 +68,7 @@
 // up are the processes that are up by themselves.
 func (s *Supervisor) up() []one {
 	got := make(chan []one, 1)
-	s.send(s.ctx, func(time.Duration) []plan.Action {
+	s.enqueue(s.ctx, func(time.Duration) []plan.Action {
 		var all []one
 		for i := range s.specs {
 			if phase, n := s.plan.Phase(i); phase != plan.Up || n != 1 {
--- a/internal/fleet/supervisor/everywhere.go
+++ b/internal/fleet/supervisor/everywhere.go
@@ -25,8 +25,8 @@
 // it refuses what an owner of before wants. Without an answer of the council it
 // supervises as ever.
 
-// Duty is the one whose owner rolls through all hosts.
-const Duty = "roll"
+// RolloutLease is the one whose owner rolls through all hosts.
+const RolloutLease = "roll"
 
 const (
 	effectPath  = "/v1/effect"
@@ -38,28 +38,28 @@
 	vacantLook  = 250 * time.Millisecond
 )
 
-// effect is what an owner wants of a supervisor.
-type effect struct {
-	Duty     string        `json:"duty"`
-	Owner    string        `json:"owner"`
-	Epoch    council.Epoch `json:"epoch"`
-	Do       string        `json:"do"` // look, restart, reload or list
+// hostCommand is what an owner wants of a supervisor.
+type hostCommand struct {
+	Lease     string        `json:"duty"`
+	Holder    string        `json:"owner"`
+	Token    council.Epoch `json:"epoch"`
+	Kind       string        `json:"do"` // look, restart, reload or list
 	Instance string        `json:"instance,omitempty"`
-	Order    string        `json:"order,omitempty"`
+	Operation    string        `json:"order,omitempty"`
 	Program  string        `json:"program,omitempty"`
 	List     *listPush     `json:"list,omitempty"`
 }
 
-// told is its answer.
-type told struct {
-	Refused string          `json:"refused,omitempty"`
+// hostResponse is its answer.
+type hostResponse struct {
+	Rejected string          `json:"refused,omitempty"`
 	Host    everywhere.Host `json:"host"`
-	Index   int64           `json:"index,omitempty"` // version of the list that it has cached
-	Late    int             `json:"late"`            // effects that were refused since the start
+	ListVersion   int64           `json:"index,omitempty"` // version of the list that it has cached
+	StaleCommands    int             `json:"late"`            // effects that were refused since the start
 }
 
-// fact is what the council keeps of a host.
-type fact struct {
+// hostRecord is what the council keeps of a host.
+type hostRecord struct {
 	Zone      string `json:"zone"`
 	Address   string `json:"address"`
 	Instances int    `json:"instances"`
@@ -68,7 +68,7 @@
 
 // joinCouncil begins to listen to owners and to the council.
 func (s *Supervisor) joinCouncil(ctx context.Context) error {
-	c := s.file.Council
+	c := s.file.Coordination
 	if c.Name == "" {
 		return nil
 	}
@@ -77,7 +77,7 @@
 		return fmt.Errorf("council.listen: %w", err)
 	}
 	s.client = ask.NewClient(c.Name, c.Members)
-	server := &http.Server{Handler: http.HandlerFunc(s.takeEffect), ReadTimeout: effectFor, WriteTimeout: effectFor + time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 4 << 10}
+	server := &http.Server{Handler: http.HandlerFunc(s.serveHostCommand), ReadTimeout: effectFor, WriteTimeout: effectFor + time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 4 << 10}
 	s.wg.Go(func() { server.Serve(ask.Bounded(ln, mostEffects)) })
 	s.wg.Go(func() { <-ctx.Done(); server.Close(); s.client.Close() })
 	if err := s.startListProxy(ctx); err != nil {
@@ -91,7 +91,7 @@
 // answers, and becomes the owner of the roll when an order waits for one.
 func (s *Supervisor) hear(ctx context.Context) {
 	known, seen := false, uint64(0)
-	me := fmt.Sprintf("%s.%04x", s.file.Council.Host, rand.Uint32()&0xffff)
+	me := fmt.Sprintf("%s.%04x", s.file.Coordination.Host, rand.Uint32()&0xffff)
 	for ctx.Err() == nil {
 		q := ask.Question{Kind: ask.Hear, WaitMS: int(hearFor.Milliseconds()), Seen: seen}
 		if !known {
@@ -107,7 +107,7 @@
 			seen = 0
 		}
 		first := !known // read by the goroutine of Run, while this one goes on
-		s.send(ctx, func(time.Duration) []plan.Action {
+		s.enqueue(ctx, func(time.Duration) []plan.Action {
 			for duty, t := range a.Duties {
 				before := s.fence.Newest(duty)
 				s.fence.Hear(duty, t)
@@ -115,9 +115,9 @@
 			}
 			if first {
 				// A majority knows of no owner: any is newer than nobody.
-				s.fence.Hear(Duty, council.Tenant{})
+				s.fence.Hear(RolloutLease, council.Tenant{})
 				if s.listProxy != nil {
-					s.fence.Hear(s.listProxy.duty, council.Tenant{})
+					s.fence.Hear(s.listProxy.lease, council.Tenant{})
 				}
 			}
 			return nil
@@ -127,11 +127,11 @@
 			continue
 		}
 		vacant := false
-		if s.listProxy != nil && a.Duties[s.listProxy.duty].Owner == "" {
+		if s.listProxy != nil && a.Duties[s.listProxy.lease].Owner == "" {
 			vacant = true
 			s.listProxy.tryToOwn(ctx, me)
 		}
-		if a.Open[Duty] && a.Duties[Duty].Owner == "" {
+		if a.Open[RolloutLease] && a.Duties[RolloutLease].Owner == "" {
 			vacant = true
 			if s.owning.CompareAndSwap(false, true) {
 				s.wg.Go(func() { defer s.owning.Store(false); s.tryToOwn(ctx, me) })
@@ -159,13 +159,13 @@
 
 // tellFacts tells the council of this host.
 func (s *Supervisor) tellFacts(ctx context.Context) bool {
-	text, _ := json.Marshal(fact{s.file.Council.Zone, s.file.Council.Listen, len(s.specs), s.file.Program})
-	a, err := s.asks(ctx, ask.Question{Kind: council.Facts, Who: s.file.Council.Host, Data: text}, effectFor)
+	text, _ := json.Marshal(hostRecord{s.file.Coordination.Zone, s.file.Coordination.Listen, len(s.specs), s.file.Program})
+	a, err := s.asks(ctx, ask.Question{Kind: council.Facts, Who: s.file.Coordination.Host, Data: text}, effectFor)
 	if err == nil && a.Refused != "" {
 		err = errors.New(a.Refused)
 	}
 	if err != nil {
-		s.log.Warn(fmt.Sprintf("council: facts of %s: %v", s.file.Council.Host, err), logs.Cause("facts"))
+		s.log.Warn(fmt.Sprintf("council: facts of %s: %v", s.file.Coordination.Host, err), logs.Cause("facts"))
 		pause(ctx, time.Second/2)
 	}
 	return err == nil
@@ -173,7 +173,7 @@
 
 // tryToOwn asks for the duty, and does it where it is given.
 func (s *Supervisor) tryToOwn(ctx context.Context, me string) {
-	r := s.reign(ctx, Duty, me)
+	r := s.reign(ctx, RolloutLease, me)
 	if r == nil {
 		return
 	}
@@ -200,7 +200,7 @@
 		if err != nil {
 			continue // the tenure ends by itself where that lasts
 		}
-		open := a.State.Open(Duty)
+		open := a.State.Open(RolloutLease)
 		if open == nil {
 			return "no order is left"
 		}
@@ -209,7 +209,7 @@
 			o.end(ctx, open.ID, fmt.Sprintf("found no order in %.100s: %v", open.Words, err))
 			continue
 		}
-		if d := a.State.Duties[Duty]; first && d != nil && d.Note != nil {
+		if d := a.State.Duties[RolloutLease]; first && d != nil && d.Note != nil {
 			json.Unmarshal(d.Note, &o.note)
 		}
 		hosts := o.look(a.State.Facts)
@@ -258,14 +258,14 @@
 		return true
 	}
 	text, _ := json.Marshal(o.note)
-	a, err := o.s.asks(ctx, ask.Question{Kind: council.Note, Duty: Duty, Who: o.me, Epoch: o.epoch, Data: text}, effectFor)
+	a, err := o.s.asks(ctx, ask.Question{Kind: council.Note, Duty: RolloutLease, Who: o.me, Epoch: o.epoch, Data: text}, effectFor)
 	o.noted = time.Now()
 	return err == nil && a.Refused == ""
 }
 
 func (o *owner) end(ctx context.Context, id, how string) {
 	text, _ := json.Marshal(how)
-	o.s.asks(ctx, ask.Question{Kind: council.End, Duty: Duty, Who: o.me, Epoch: o.epoch, ID: id, Data: text}, effectFor)
+	o.s.asks(ctx, ask.Question{Kind: council.End, Duty: RolloutLease, Who: o.me, Epoch: o.epoch, ID: id, Data: text}, effectFor)
 }
 
 // look asks all hosts how they are. By it each hears of this epoch.
@@ -275,14 +275,14 @@
 	var wg sync.WaitGroup
 	slots := make(chan bool, mostAsking)
 	for name, text := range facts {
-		var f fact
+		var f hostRecord
 		json.Unmarshal(text, &f)
 		slots <- true
 		wg.Go(func() {
 			defer func() { <-slots }()
-			t, err := o.effect(f.Address, effect{Do: "look"})
+			t, err := o.effect(f.Address, hostCommand{Kind: "look"})
 			h := everywhere.Host{Name: name, Zone: f.Zone}
-			if err == nil && t.Refused == "" {
+			if err == nil && t.Rejected == "" {
 				h = t.Host
 				h.Reached = true
 			}
@@ -302,7 +302,7 @@
 		if ctx.Err() != nil || !o.held() {
 			break
 		}
-		var f fact
+		var f hostRecord
 		json.Unmarshal(facts[step.Host], &f)
 		wg.Go(func() {
 			inject.At("owner-acts") // a stop here is longer than any lease: the fence is there for it
@@ -310,23 +310,23 @@
 			if step.Reload {
 				do = "reload"
 			}
-			t, err := o.effect(f.Address, effect{Do: do, Instance: step.Instance, Order: step.Order, Program: step.Program})
+			t, err := o.effect(f.Address, hostCommand{Kind: do, Instance: step.Instance, Operation: step.Order, Program: step.Program})
 			switch {
 			case err != nil:
 				o.s.log.Warn(fmt.Sprintf("council: %s of %s: %v", step.Instance, step.Host, err), logs.Cause("effect"))
-			case t.Refused != "":
-				o.s.log.Warn(fmt.Sprintf("council: %s of %s: refused: %s", step.Instance, step.Host, t.Refused), logs.Cause("refused"))
+			case t.Rejected != "":
+				o.s.log.Warn(fmt.Sprintf("council: %s of %s: refused: %s", step.Instance, step.Host, t.Rejected), logs.Cause("refused"))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// takeEffect is the receiver: the fence is asked and the effect begun in one step
+// serveHostCommand is the receiver: the fence is asked and the effect begun in one step
 // of the goroutine of Run, so that an owner who was answered knows of all that an
 // earlier one has begun here.
-func (s *Supervisor) takeEffect(w http.ResponseWriter, r *http.Request) {
-	var e effect
+func (s *Supervisor) serveHostCommand(w http.ResponseWriter, r *http.Request) {
+	var e hostCommand
 	if r.Method != http.MethodPost || r.URL.Path != effectPath {
 		http.NotFound(w, r)
 		return
@@ -335,8 +335,8 @@
 		http.Error(w, "found no effect, wanted one: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer := make(chan told, 1)
-	s.send(r.Context(), func(now time.Duration) []plan.Action {
+	answer := make(chan hostResponse, 1)
+	s.enqueue(r.Context(), func(now time.Duration) []plan.Action {
 		t, acts := s.effect(now, e)
 		answer <- t
 		return acts
@@ -349,56 +349,56 @@
 	}
 }
 
-func (s *Supervisor) effect(now time.Duration, e effect) (told, []plan.Action) {
-	refused := func(err error) (told, []plan.Action) {
-		s.say("refused: %s of epoch %v of %s: %v", e.Do, e.Epoch, e.Owner, err)
-		return told{Refused: err.Error(), Late: s.fence.Refused}, nil
+func (s *Supervisor) effect(now time.Duration, e hostCommand) (hostResponse, []plan.Action) {
+	refused := func(err error) (hostResponse, []plan.Action) {
+		s.say("refused: %s of epoch %v of %s: %v", e.Kind, e.Token, e.Holder, err)
+		return hostResponse{Rejected: err.Error(), StaleCommands: s.fence.Refused}, nil
 	}
-	before := s.fence.Newest(e.Duty)
-	if err := s.fence.Check(e.Duty, council.Tenant{Owner: e.Owner, Epoch: e.Epoch}); err != nil {
+	before := s.fence.Newest(e.Lease)
+	if err := s.fence.Check(e.Lease, council.Tenant{Owner: e.Holder, Epoch: e.Token}); err != nil {
 		return refused(err)
 	}
-	s.heardOf(e.Duty, before)
+	s.heardOf(e.Lease, before)
 	var acts []plan.Action
-	switch e.Do {
+	switch e.Kind {
 	case "look":
 	case "list":
 		index, err := s.listProxy.receive(e)
 		if err != nil {
 			return refused(err)
 		}
-		return told{Index: index, Late: s.fence.Refused}, nil
+		return hostResponse{ListVersion: index, StaleCommands: s.fence.Refused}, nil
 	case "restart", "reload":
 		which, err := s.named([]string{e.Instance})
 		if err != nil {
 			return refused(err)
 		}
-		if s.orders[which[0]] == e.Order || s.next != nil && s.next.order == e.Order && s.next.which == which[0] && s.plan.Rolling() {
+		if s.orders[which[0]] == e.Operation || s.next != nil && s.next.order == e.Operation && s.next.which == which[0] && s.plan.Rolling() {
 			break // it was done, or is under way: the owner asks again what it has no answer to
 		}
 		if phase, n := s.plan.Phase(which[0]); phase != plan.Up || n != 1 {
 			return refused(fmt.Errorf("%s: found it %v, wanted it up", e.Instance, phase))
 		}
 		args := []string{e.Instance}
-		if e.Program != "" && e.Do == "restart" {
+		if e.Program != "" && e.Kind == "restart" {
 			args = []string{"-program", e.Program, e.Instance}
 		}
-		if acts, err = s.roll(now, e.Do == "reload", args); err != nil {
+		if acts, err = s.roll(now, e.Kind == "reload", args); err != nil {
 			return refused(err)
 		}
-		s.next.order, s.next.which = e.Order, which[0]
-		s.say("takes %s of %s for order %s of %s, epoch %v", e.Do, e.Instance, e.Order, e.Owner, e.Epoch)
+		s.next.order, s.next.which = e.Operation, which[0]
+		s.say("takes %s of %s for order %s of %s, epoch %v", e.Kind, e.Instance, e.Operation, e.Holder, e.Token)
 		inject.At("fleet-takes-order")
 	default:
-		return refused(fmt.Errorf("found %q, wanted look, restart, reload or list", e.Do))
+		return refused(fmt.Errorf("found %q, wanted look, restart, reload or list", e.Kind))
 	}
-	return told{Host: s.host(), Late: s.fence.Refused}, acts
+	return hostResponse{Host: s.host(), StaleCommands: s.fence.Refused}, acts
 }
 
 // heardOf says that a newer owner than before is known, in whatever way: from here on
 // nothing of an older one is taken.
 func (s *Supervisor) heardOf(duty string, before council.Tenant) {
-	if duty != Duty && (s.listProxy == nil || duty != s.listProxy.duty) {
+	if duty != RolloutLease && (s.listProxy == nil || duty != s.listProxy.lease) {
 		return // no effect of it comes here
 	}
 	if now := s.fence.Newest(duty); now.Epoch > before.Epoch && now.Owner != "" {
@@ -408,7 +408,7 @@
 
 // host is this host as an owner needs it.
 func (s *Supervisor) host() everywhere.Host {
-	h := everywhere.Host{Name: s.file.Council.Host, Zone: s.file.Council.Zone, Program: s.program}
+	h := everywhere.Host{Name: s.file.Coordination.Host, Zone: s.file.Coordination.Zone, Program: s.program}
 	if s.plan.Rolling() {
 		h.Rolling = s.plan.RollText()
 	}
@@ -427,7 +427,7 @@
 	case well:
 		s.orders[s.next.which] = s.next.order
 		for _, p := range s.procs[s.next.which] {
-			p.order = s.next.order // one that was reloaded was started for another
+			p.operation = s.next.order // one that was reloaded was started for another
 		}
 		delete(s.failed, s.next.which)
 		defer s.save()
@@ -444,9 +444,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	c := ask.NewClient(s.file.Council.Name, s.file.Council.Members)
+	c := ask.NewClient(s.file.Coordination.Name, s.file.Coordination.Members)
 	defer c.Close()
-	if _, err := c.Do(ctx, ask.Question{Kind: council.Facts, Who: s.file.Council.Host}); err != nil {
-		s.log.Warn(fmt.Sprintf("council: it does not know that %s has ended (%v): otterspring council forget", s.file.Council.Host, err))
+	if _, err := c.Do(ctx, ask.Question{Kind: council.Facts, Who: s.file.Coordination.Host}); err != nil {
+		s.log.Warn(fmt.Sprintf("council: it does not know that %s has ended (%v): otterspring council forget", s.file.Coordination.Host, err))
 	}
 }
--- a/internal/fleet/supervisor/file.go
+++ b/internal/fleet/supervisor/file.go
@@ -20,8 +20,8 @@
 	"otterspring/internal/strictfile"
 )
 
-// MostInstances is how many instances one supervisor takes.
-const MostInstances = 1000
+// MaxInstances is how many instances one supervisor takes.
+const MaxInstances = 1000
 
 // File is a fleet file.
 type File struct {
@@ -36,16 +36,16 @@
 	Listen    string     `toml:"listen"` // with {i} or {port}
 	FirstPort int        `toml:"first_port" min:"1" max:"65535"`
 	Instances []Instance `toml:"instance" max:"1000"`
-	Start     Start      `toml:"start"`
-	Restart   Restart    `toml:"restart"`
-	Crash     Crash      `toml:"crash"`
-	Alive     Alive      `toml:"alive"`
-	Council   Council    `toml:"council"`
-	List      ListFile   `toml:"list"`
+	Start     StartSettings      `toml:"start"`
+	Restart   RestartSettings    `toml:"restart"`
+	Crash     CrashSettings      `toml:"crash"`
+	HealthCheck     HealthCheckSettings      `toml:"alive"`
+	Coordination   CoordinationSettings    `toml:"council"`
+	EndpointList      EndpointListSettings   `toml:"list"`
 }
 
-// Council says which council this host belongs to; none without a name.
-type Council struct {
+// CoordinationSettings says which council this host belongs to; none without a name.
+type CoordinationSettings struct {
 	Name    string   `toml:"name"`
 	Members []string `toml:"members" max:"7"` // where its members listen
 	Host    string   `toml:"host"`            // what this host is called there
@@ -53,10 +53,10 @@
 	Listen  string   `toml:"listen"` // where owners reach this supervisor
 }
 
-// Alive says when an instance that runs and answers nobody is killed and started
+// HealthCheck says when an instance that runs and answers nobody is killed and started
 // anew.
-type Alive struct {
-	Within time.Duration `toml:"within" min:"0s" max:"10m"` // 0 for never
+type HealthCheckSettings struct {
+	Timeout time.Duration `toml:"within" min:"0s" max:"10m"` // 0 for never
 }
 
 // Instance is one instance that is named by itself.
@@ -66,29 +66,29 @@
 	Config string `toml:"config"` // its own template
 }
 
-// Start spreads the starts so that discovery can follow: a start costs it one
+// StartSettings spreads the starts so that discovery can follow: a start costs it one
 // call and the whole list.
-type Start struct {
-	Lines     int           `toml:"discovery_lines" min:"1" max:"100000"` // a second, that may be used
+type StartSettings struct {
+	DiscoveryLines     int           `toml:"discovery_lines" min:"1" max:"100000"` // a second, that may be used
 	CallLines int           `toml:"call_lines" min:"0" max:"1000"`        // fixed cost of a call
 	ListLines int           `toml:"list_lines" min:"1" max:"10000"`       // servers in the list
-	Ready     time.Duration `toml:"ready_within" min:"100ms" max:"10m"`
+	ReadyTimeout     time.Duration `toml:"ready_within" min:"100ms" max:"10m"`
 }
 
-// Restart says how instances are rolled.
-type Restart struct {
+// RestartSettings says how instances are rolled.
+type RestartSettings struct {
 	Mode       string        `toml:"mode" oneof:"term|handover"`
-	AtOnce     int           `toml:"at_once" min:"1" max:"100"`
-	EndWithin  time.Duration `toml:"end_within" min:"100ms" max:"10m"`
-	PauseAfter int           `toml:"pause_after" min:"1" max:"100"`
+	MaxConcurrent     int           `toml:"at_once" min:"1" max:"100"`
+	StopTimeout  time.Duration `toml:"end_within" min:"100ms" max:"10m"`
+	MaxConsecutiveFailures int           `toml:"pause_after" min:"1" max:"100"`
 }
 
-// Crash says how instances that ended by themselves are started again.
-type Crash struct {
-	First  time.Duration `toml:"first" min:"10ms" max:"1m"`
-	Most   time.Duration `toml:"most" min:"10ms" max:"1h"`
-	Loop   int           `toml:"loop" min:"2" max:"100"`
-	Within time.Duration `toml:"within" min:"1s" max:"24h"`
+// CrashSettings says how instances that ended by themselves are started again.
+type CrashSettings struct {
+	InitialBackoff  time.Duration `toml:"first" min:"10ms" max:"1m"`
+	MaxBackoff   time.Duration `toml:"most" min:"10ms" max:"1h"`
+	LoopCrashes   int           `toml:"loop" min:"2" max:"100"`
+	LoopWindow time.Duration `toml:"within" min:"1s" max:"24h"`
 }
 
 // defaults are what a file need not say. The lines are the least that the
@@ -96,10 +96,10 @@
 func defaults() File {
 	return File{
 		Name: "n{i}", FirstPort: 20000,
-		Start:   Start{Lines: 280, CallLines: 77, ListLines: 70, Ready: 10 * time.Second},
-		Restart: Restart{Mode: "term", AtOnce: 1, EndWithin: 30 * time.Second, PauseAfter: 2},
-		List:    ListFile{Source: "discovery", HeartbeatTimeout: 1500 * time.Millisecond, Jitter: 2 * time.Second, StalenessLimit: 4 * time.Second},
-		Crash:   Crash{First: 500 * time.Millisecond, Most: 30 * time.Second, Loop: 5, Within: time.Minute},
+		Start:   StartSettings{DiscoveryLines: 280, CallLines: 77, ListLines: 70, ReadyTimeout: 10 * time.Second},
+		Restart: RestartSettings{Mode: "term", MaxConcurrent: 1, StopTimeout: 30 * time.Second, MaxConsecutiveFailures: 2},
+		EndpointList:    EndpointListSettings{Source: "discovery", HeartbeatTimeout: 1500 * time.Millisecond, Jitter: 2 * time.Second, StalenessLimit: 4 * time.Second},
+		Crash:   CrashSettings{InitialBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second, LoopCrashes: 5, LoopWindow: time.Minute},
 	}
 }
 
@@ -118,71 +118,71 @@
 		return nil, err
 	}
 	f.Path = path
-	f.Directory = f.beside(f.Directory)
-	f.Program = f.beside(f.Program)
+	f.Directory = f.absolutePath(f.Directory)
+	f.Program = f.absolutePath(f.Program)
 	if f.Control == "" {
 		f.Control = filepath.Join(f.Directory, "fleet.sock")
 	}
-	f.Control = f.beside(f.Control)
+	f.Control = f.absolutePath(f.Control)
 	if len(f.Control) > 100 {
-		return nil, f.bad("control", fmt.Sprintf("a path of %d bytes", len(f.Control)), "100 at most")
+		return nil, f.invalid("control", fmt.Sprintf("a path of %d bytes", len(f.Control)), "100 at most")
 	}
 	if _, err := f.Specs(); err != nil {
 		return nil, err
 	}
 	if info, err := os.Stat(f.Program); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return nil, f.bad("program", fmt.Sprintf("no program at %q", f.Program), "an executable file")
+		return nil, f.invalid("program", fmt.Sprintf("no program at %q", f.Program), "an executable file")
 	}
-	if err := f.council(); err != nil {
+	if err := f.validateCoordination(); err != nil {
 		return nil, err
 	}
-	if f.Crash.Most < f.Crash.First {
-		return nil, f.bad("crash.most", f.Crash.Most.String(), fmt.Sprintf("%v (crash.first) or more", f.Crash.First))
+	if f.Crash.MaxBackoff < f.Crash.InitialBackoff {
+		return nil, f.invalid("crash.most", f.Crash.MaxBackoff.String(), fmt.Sprintf("%v (crash.first) or more", f.Crash.InitialBackoff))
 	}
 	return &f, nil
 }
 
-// council checks the part of the council.
-func (f *File) council() error {
-	c := f.Council
+// validateCoordination checks the part of the council.
+func (f *File) validateCoordination() error {
+	c := f.Coordination
 	if c.Name == "" {
 		if c.Host != "" || c.Listen != "" || c.Zone != "" || len(c.Members) > 0 {
-			return f.bad("council.name", "none", "the council's name, where the rest is set")
+			return f.invalid("council.name", "none", "the council's name, where the rest is set")
 		}
-		if f.List.Discovery != "" || f.List.Listen != "" {
-			return f.bad("list", "it without a council", "council.name, or no list")
+		if f.EndpointList.Discovery != "" || f.EndpointList.Listen != "" {
+			return f.invalid("list", "it without a council", "council.name, or no list")
 		}
 		return nil
 	}
 	if len(c.Members) == 0 {
-		return f.bad("council.members", "none", "the addresses of the council's members")
+		return f.invalid("council.members", "none", "the addresses of the council's members")
 	}
 	for _, a := range append([]string{c.Listen}, c.Members...) {
 		if addr, err := netip.ParseAddrPort(a); err != nil || addr.Port() == 0 {
-			return f.bad("council", strconv.Quote(a), "listen and members: an IP address and a port each")
+			return f.invalid("council", strconv.Quote(a), "listen and members: an IP address and a port each")
 		}
 	}
-	if l := f.List; l.Discovery != "" || l.Listen != "" {
+	if l := f.EndpointList; l.Discovery != "" || l.Listen != "" {
 		for key, a := range map[string]string{"list.discovery": l.Discovery, "list.listen": l.Listen} {
 			if addr, err := netip.ParseAddrPort(a); err != nil || addr.Port() == 0 {
-				return f.bad(key, strconv.Quote(a), "an IP address and a port")
+				return f.invalid(key, strconv.Quote(a), "an IP address and a port")
 			}
 		}
 		if l.Source == "" || len(l.Source) > 64 || strings.ContainsAny(l.Source, " \r\n") {
-			return f.bad("list.source", strconv.Quote(l.Source), "a name of 1 to 64 bytes without blanks")
+			return f.invalid("list.source", strconv.Quote(l.Source), "a name of 1 to 64 bytes without blanks")
 		}
 		if l.StalenessLimit <= l.HeartbeatTimeout {
-			return f.bad("list.stale", l.StalenessLimit.String(), fmt.Sprintf("more than %v (list.silent)", l.HeartbeatTimeout))
+			return f.invalid("list.stale", l.StalenessLimit.String(), fmt.Sprintf("more than %v (list.silent)", l.HeartbeatTimeout))
 		}
 	}
 	if c.Host == "" || len(c.Host) > 32 || strings.ContainsAny(c.Host, "/. \n") {
-		return f.bad("council.host", strconv.Quote(c.Host), "a name of 1 to 32 bytes without blanks, dots and slashes")
+		return f.invalid("council.host", strconv.Quote(c.Host), "a name of 1 to 32 bytes without blanks, dots and slashes")
 	}
 	return nil
 }
 
-// beside makes a path absolute, from the fleet file's folder.
-func (f *File) beside(path string) string {
+// absolutePath makes a path absolute, from the fleet file's folder.
+func (f *File) absolutePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
@@ -193,7 +193,7 @@
 	return abs
 }
 
-func (f *File) bad(key, found, wanted string) error {
+func (f *File) invalid(key, found, wanted string) error {
 	return &strictfile.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
 }
 
@@ -201,14 +201,14 @@
 func (f *File) Specs() ([]Spec, error) {
 	all := append([]Instance(nil), f.Instances...)
 	for i := 1; i <= f.Count; i++ {
-		listen := f.fill(f.Listen, "", "", i)
-		all = append(all, Instance{Name: f.fill(f.Name, "", listen, i), Listen: listen})
+		listen := f.expand(f.Listen, "", "", i)
+		all = append(all, Instance{Name: f.expand(f.Name, "", listen, i), Listen: listen})
 	}
 	if len(all) == 0 {
-		return nil, f.bad("", "no instance", "count or [[instance]]")
+		return nil, f.invalid("", "no instance", "count or [[instance]]")
 	}
-	if len(all) > MostInstances {
-		return nil, f.bad("count", fmt.Sprintf("%d instances", len(all)), fmt.Sprintf("%d at most", MostInstances))
+	if len(all) > MaxInstances {
+		return nil, f.invalid("count", fmt.Sprintf("%d instances", len(all)), fmt.Sprintf("%d at most", MaxInstances))
 	}
 	names, addrs := map[string]bool{}, map[string]string{}
 	var specs []Spec
@@ -216,20 +216,20 @@
 		addr, err := netip.ParseAddrPort(in.Listen)
 		switch {
 		case err != nil || addr.Port() == 0:
-			return nil, f.bad("listen", fmt.Sprintf("%q for %s", in.Listen, in.Name), "an IP address and a port")
+			return nil, f.invalid("listen", fmt.Sprintf("%q for %s", in.Listen, in.Name), "an IP address and a port")
 		case in.Name == "" || strings.ContainsAny(in.Name, "/ \n"):
-			return nil, f.bad("name", strconv.Quote(in.Name), "a name without blanks and slashes")
+			return nil, f.invalid("name", strconv.Quote(in.Name), "a name without blanks and slashes")
 		case names[in.Name]:
-			return nil, f.bad("name", fmt.Sprintf("%q twice", in.Name), "each once")
+			return nil, f.invalid("name", fmt.Sprintf("%q twice", in.Name), "each once")
 		case addrs[addr.String()] != "":
-			return nil, f.bad("listen", fmt.Sprintf("%s for both %s and %s", addr, addrs[addr.String()], in.Name), "each address once")
+			return nil, f.invalid("listen", fmt.Sprintf("%s for both %s and %s", addr, addrs[addr.String()], in.Name), "each address once")
 		}
 		names[in.Name], addrs[addr.String()] = true, in.Name
 		s := Spec{Name: in.Name, Listen: in.Listen}
 		for _, a := range f.Args {
-			s.Args = append(s.Args, f.fill(a, in.Name, in.Listen, i+1))
+			s.Args = append(s.Args, f.expand(a, in.Name, in.Listen, i+1))
 		}
-		if s.Config, err = f.configOf(in, i+1); err != nil {
+		if s.Config, err = f.renderConfig(in, i+1); err != nil {
 			return nil, err
 		}
 		specs = append(specs, s)
@@ -237,8 +237,8 @@
 	return specs, nil
 }
 
-// configOf fills an instance's template.
-func (f *File) configOf(in Instance, i int) (string, error) {
+// renderConfig fills an instance's template.
+func (f *File) renderConfig(in Instance, i int) (string, error) {
 	path := in.Config
 	if path == "" {
 		path = f.Config
@@ -246,33 +246,33 @@
 	if path == "" {
 		return "", nil
 	}
-	path = f.beside(path)
+	path = f.absolutePath(path)
 	text, err := disk.Read(path)
 	if err != nil {
-		return "", f.bad("config", err.Error(), "a readable template")
+		return "", f.invalid("config", err.Error(), "a readable template")
 	}
-	filled := f.fill(string(text), in.Name, in.Listen, i)
+	filled := f.expand(string(text), in.Name, in.Listen, i)
 	if !json.Valid([]byte(filled)) {
-		return "", f.bad("config", fmt.Sprintf("%s filled in for %s is no JSON", path, in.Name), "JSON")
+		return "", f.invalid("config", fmt.Sprintf("%s filled in for %s is no JSON", path, in.Name), "JSON")
 	}
 	return filled, nil
 }
 
-// fill puts an instance's own words into a template. {seed} is new each time.
-func (f *File) fill(text, name, listen string, i int) string {
+// expand puts an instance's own words into a template. {seed} is new each time.
+func (f *File) expand(text, name, listen string, i int) string {
 	var seed [8]byte
 	rand.Read(seed[:])
 	return strings.NewReplacer("{name}", name, "{listen}", listen, "{i}", strconv.Itoa(i), "{dir}", f.Directory,
 		"{port}", strconv.Itoa(f.FirstPort+i-1), "{seed}", hex.EncodeToString(seed[:])).Replace(text)
 }
 
-// plan is the file as the decisions see it.
-func (f *File) plan() plan.Config {
-	perStart := float64(f.Start.CallLines+f.Start.ListLines) / float64(f.Start.Lines)
+// lifecycleConfig is the file as the decisions see it.
+func (f *File) lifecycleConfig() plan.Config {
+	perStart := float64(f.Start.CallLines+f.Start.ListLines) / float64(f.Start.DiscoveryLines)
 	return plan.Config{
 		Gap:         time.Duration(perStart * float64(time.Second)),
-		ReadyWithin: f.Start.Ready, EndWithin: f.Restart.EndWithin,
-		AtOnce: f.Restart.AtOnce, HandOver: f.Restart.Mode == "handover", PauseAfter: f.Restart.PauseAfter,
-		BackoffFirst: f.Crash.First, BackoffMost: f.Crash.Most, LoopCrashes: f.Crash.Loop, LoopWithin: f.Crash.Within,
+		ReadyWithin: f.Start.ReadyTimeout, EndWithin: f.Restart.StopTimeout,
+		AtOnce: f.Restart.MaxConcurrent, HandOver: f.Restart.Mode == "handover", PauseAfter: f.Restart.MaxConsecutiveFailures,
+		BackoffFirst: f.Crash.InitialBackoff, BackoffMost: f.Crash.MaxBackoff, LoopCrashes: f.Crash.LoopCrashes, LoopWithin: f.Crash.LoopWindow,
 	}
 }
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/fleet_test.go
@@ -168,7 +168,7 @@
 
 func (r *running) ask(t *testing.T, words ...string) string {
 	t.Helper()
-	text, err := Ask(r.file.Control, words...)
+	text, err := SendCommand(r.file.Control, words...)
 	if err != nil {
 		t.Fatalf("%v: %v", words, err)
 	}
@@ -253,7 +253,7 @@
 	// One that the program does not take goes back. The file itself is checked
 	// before anything is sent.
 	os.WriteFile(base, []byte("{"), 0o600)
-	if _, err := Ask(r.file.Control, "reload"); err == nil || !strings.Contains(err.Error(), "no JSON") {
+	if _, err := SendCommand(r.file.Control, "reload"); err == nil || !strings.Contains(err.Error(), "no JSON") {
 		t.Errorf("a template that is no JSON: %v", err)
 	}
 	os.WriteFile(base, []byte(strings.Replace(template, `"cores":1`, `"cores":0`, 1)), 0o600)
@@ -263,7 +263,7 @@
 		t.Errorf("%d rolls went well, want 2: %s", n, r.out)
 	}
 	for _, words := range [][]string{{"restart", "n9"}, {"dance"}, {"resume"}, {"cancel"}, {"restart", "-program", "/none"}} {
-		if _, err := Ask(r.file.Control, words...); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := SendCommand(r.file.Control, words...); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", words, err)
 		}
 	}
@@ -282,7 +282,7 @@
 			t.Errorf("%s: process %d still runs", name, p[0])
 		}
 	}
-	if _, err := Ask(r.file.Control, "status"); err == nil || !strings.Contains(err.Error(), "control socket") {
+	if _, err := SendCommand(r.file.Control, "status"); err == nil || !strings.Contains(err.Error(), "control socket") {
 		t.Errorf("a dead control socket: %v", err)
 	}
 }
@@ -384,7 +384,7 @@
 	}
 	r := &running{file: f, out: &lockedBuffer{}}
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		if _, err := Ask(f.Control, "status"); err == nil {
+		if _, err := SendCommand(f.Control, "status"); err == nil {
 			break
 		}
 		if time.Now().After(end) {
@@ -398,7 +398,7 @@
 	}
 	first.Process.Kill()
 	first.Wait()
-	if _, err := Ask(f.Control, "status"); err == nil || !strings.Contains(err.Error(), "dead control socket") {
+	if _, err := SendCommand(f.Control, "status"); err == nil || !strings.Contains(err.Error(), "dead control socket") {
 		t.Errorf("the dead control socket: %v", err)
 	}
 	// One of them dies meanwhile; its number is not taken for another's.
@@ -408,11 +408,11 @@
 	}
 	// It did not live to write n3 down: that is adopted all the same.
 	text, _ := os.ReadFile(state)
-	var list []saved
+	var list []savedProcess
 	if err := json.Unmarshal(text, &list); err != nil || len(list) != 3 {
 		t.Fatalf("state %s: %v", text, err)
 	}
-	list = slices.DeleteFunc(list, func(v saved) bool { return v.Name == "n3" })
+	list = slices.DeleteFunc(list, func(v savedProcess) bool { return v.Name == "n3" })
 	text, _ = json.Marshal(list)
 	os.WriteFile(state, text, 0o600)
 	r2 := supervise(t, path)
@@ -463,7 +463,7 @@
 		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
 		list = append(list, fmt.Sprintf(`{"name":"n1","listen":%q,"pid":%d,"start":%q}`, specs[0].Listen, c.Process.Pid, startTime(c.Process.Pid)))
 	}
-	if !awaitUp(context.Background(), specs[0].Listen, func(u upState) bool { return u.pid == up.Process.Pid }) {
+	if !waitUntilHealthy(context.Background(), specs[0].Listen, func(u healthStatus) bool { return u.pid == up.Process.Pid }) {
 		t.Fatal("not up")
 	}
 	os.WriteFile(filepath.Join(f.Directory, "state.json"), []byte("["+strings.Join(list, ",")+"]"), 0o600)
--- a/internal/fleet/supervisor/list.go
+++ b/internal/fleet/supervisor/list.go
@@ -53,7 +53,7 @@
 
 	proxyWatchLimit     = 10 * time.Second // of a sidecar's watch
 	proxyFreshnessCheck = 200 * time.Millisecond
-	maxProxyConnections = 2 * MostInstances
+	maxProxyConnections = 2 * MaxInstances
 )
 
 // listSourceHeader names, in the local endpoint's answers, the discovery that
@@ -68,14 +68,14 @@
 	Source string          `json:"source"`
 	From   int64           `json:"from"`
 	Text   json.RawMessage `json:"text"`
-	Fresh  bool            `json:"fresh"` // the owner's own cache is recent
+	LeaderFresh  bool            `json:"fresh"` // the owner's own cache is recent
 }
 
 // listProxy is a host's cache of discovery's list, its watch and its local endpoint.
 type listProxy struct {
 	supervisor *Supervisor
-	duty       string
-	settings   ListFile
+	lease       string
+	settings   EndpointListSettings
 
 	owning atomic.Bool
 
@@ -89,7 +89,7 @@
 
 // startListProxy starts a host's part in the relaying, where its file asks for it.
 func (s *Supervisor) startListProxy(ctx context.Context) error {
-	f := s.file.List
+	f := s.file.EndpointList
 	if f.Discovery == "" {
 		return nil
 	}
@@ -100,10 +100,10 @@
 	settings := list.Settings{HeartbeatTimeout: f.HeartbeatTimeout, Jitter: f.Jitter, StalenessLimit: f.StalenessLimit}
 	p := &listProxy{
 		supervisor: s,
-		duty:       listDuty(s.file.Council.Zone),
+		lease:       endpointListLease(s.file.Coordination.Zone),
 		settings:   f,
 		cache:      list.NewCache(f.Source),
-		watcher:    list.NewWatcher(settings, s.file.Council.Host, bootclock.Now()),
+		watcher:    list.NewWatcher(settings, s.file.Coordination.Host, bootclock.Now()),
 		changed:    make(chan struct{}),
 	}
 	s.listProxy = p
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// listDuty is the name of a zone's duty at the council.
-func listDuty(zone string) string { return "list:" + zone }
+// endpointListLease is the name of a zone's duty at the council.
+func endpointListLease(zone string) string { return "list:" + zone }
 
 // watchDiscovery watches discovery whenever the watcher says so, until ctx ends.
 func (p *listProxy) watchDiscovery(ctx context.Context) {
@@ -224,8 +224,8 @@
 
 // receive takes a push of an owner that the fence has accepted, and returns the
 // version that is cached now. It runs on Run's goroutine.
-func (p *listProxy) receive(e effect) (int64, error) {
-	if p == nil || e.List == nil || e.Duty != p.duty {
+func (p *listProxy) receive(e hostCommand) (int64, error) {
+	if p == nil || e.List == nil || e.Lease != p.lease {
 		return 0, errors.New("found a list, wanted none here")
 	}
 	u, err := list.Decode(e.List.Text, e.List.Source, e.List.From)
@@ -235,16 +235,16 @@
 	p.mu.Lock()
 	before := p.cache.Version
 	p.mu.Unlock()
-	if err = p.apply(u, e.Owner); err != nil && !errors.Is(err, list.ErrGap) {
+	if err = p.apply(u, e.Holder); err != nil && !errors.Is(err, list.ErrGap) {
 		return 0, err // of another discovery: this host's heartbeat timeout runs on
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e.List.Fresh && err == nil {
+	if e.List.LeaderFresh && err == nil {
 		p.watcher.Heartbeat(bootclock.Now())
 	}
 	if p.cache.Version != before {
-		p.supervisor.say("applied list version %d of %s, epoch %v", p.cache.Version, e.Owner, e.Epoch)
+		p.supervisor.say("applied list version %d of %s, epoch %v", p.cache.Version, e.Holder, e.Token)
 		inject.At("list-taken")
 	}
 	return p.cache.Version, nil
@@ -260,7 +260,7 @@
 	}
 	p.supervisor.wg.Go(func() {
 		defer p.owning.Store(false)
-		if r := p.supervisor.reign(ctx, p.duty, me); r != nil {
+		if r := p.supervisor.reign(ctx, p.lease, me); r != nil {
 			r.during(ctx, func(ctx context.Context) string { return p.publish(ctx, r) })
 		}
 	})
@@ -334,19 +334,19 @@
 	p.mu.Lock()
 	// A host may have a newer version than this owner: it is sent a heartbeat only.
 	u := p.cache.Since(min(since, p.cache.Version))
-	message := &listPush{Source: u.Source, From: u.From, Text: u.Encode(), Fresh: p.watcher.Fresh(bootclock.Now())}
+	message := &listPush{Source: u.Source, From: u.From, Text: u.Encode(), LeaderFresh: p.watcher.Fresh(bootclock.Now())}
 	p.mu.Unlock()
 	inject.At("list-tells") // a stop here outlasts any lease: fence and version are there for it
-	t, err := r.effect(address, effect{Do: "list", List: message})
+	t, err := r.effect(address, hostCommand{Kind: "list", List: message})
 	switch {
 	case err != nil:
 		p.supervisor.log.Debug(fmt.Sprintf("list: %s: %v", address, err), logs.Cause("list"+address))
 		return -1
-	case t.Refused != "":
-		p.supervisor.log.Warn(fmt.Sprintf("list: %s: refused: %s", address, t.Refused), logs.Cause("refused"+address))
+	case t.Rejected != "":
+		p.supervisor.log.Warn(fmt.Sprintf("list: %s: refused: %s", address, t.Rejected), logs.Cause("refused"+address))
 		return -1
 	}
-	return t.Index
+	return t.ListVersion
 }
 
 // watchHosts asks the council which hosts the zone has, until ctx ends.
@@ -358,8 +358,8 @@
 		}
 		var names []string
 		for name, text := range a.State.Facts {
-			var f fact
-			if json.Unmarshal(text, &f) == nil && listDuty(f.Zone) == p.duty && f.Address != "" {
+			var f hostRecord
+			if json.Unmarshal(text, &f) == nil && endpointListLease(f.Zone) == p.lease && f.Address != "" {
 				names = append(names, name)
 				addresses.Store(name, f.Address)
 			}
@@ -442,8 +442,8 @@
 	w.Write(text)
 }
 
-// ListFile is the [list] table of a fleet file.
-type ListFile struct {
+// EndpointListSettings is the [list] table of a fleet file.
+type EndpointListSettings struct {
 	// Discovery is watched for the whole zone; Listen is the local endpoint for this
 	// host's sidecars. Empty: off.
 	Discovery string `toml:"discovery"`
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -22,16 +22,16 @@
 type process struct {
 	id    int // the plan's number
 	pid   int
-	start string // its start time as the kernel has it, against reuse of the pid
-	fd    int    // pidfd
-	logAt int64  // size of the log when it started
-	// order is the council's that it was started for, program what it was started of.
-	order, program string
+	startTime string // its start time as the kernel has it, against reuse of the pid
+	pidfd    int    // pidfd
+	logOffset int64  // size of the log when it started
+	// operation is the council's that it was started for, program what it was started of.
+	operation, program string
 }
 
 // signal sends a signal to just this process, even if its number were used anew.
 func (p *process) signal(s syscall.Signal) error {
-	err := unix.PidfdSendSignal(p.fd, s, nil, 0)
+	err := unix.PidfdSendSignal(p.pidfd, s, nil, 0)
 	if errors.Is(err, unix.ESRCH) {
 		return nil // it has ended
 	}
@@ -53,23 +53,23 @@
 	return f[19]
 }
 
-// markKey names the variable by which a fleet's processes are known: its value is
+// fleetVariable names the variable by which a fleet's processes are known: its value is
 // the fleet's directory. A process has it from its first instruction on. Between
 // fork and exec, where it has not, the child still holds the lock of the directory,
 // so that no other supervisor is there to look for it.
-const markKey = "OTTERSPRING_FLEET"
+const fleetVariable = "OTTERSPRING_FLEET"
 
-// orderKey names the variable that says for which order of the council a process
+// operationVariable names the variable that says for which order of the council a process
 // was started last: what was done for an order stands at the processes themselves.
-const orderKey = "OTTERSPRING_ORDER"
+const operationVariable = "OTTERSPRING_ORDER"
 
-// mostEnviron bounds what is read of a process's environment, in bytes.
-const mostEnviron = 1 << 20
+// maxEnvironmentBytes bounds what is read of a process's environment, in bytes.
+const maxEnvironmentBytes = 1 << 20
 
-// marked finds the processes that a supervisor of this directory started, whether
+// labeledProcesses finds the processes that a supervisor of this directory started, whether
 // it lived to write that down or not. What they start themselves inherits the mark,
 // but leads no process group.
-func marked(directory string) (list []saved) {
+func labeledProcesses(directory string) (list []savedProcess) {
 	dirs, err := os.ReadDir("/proc")
 	if err != nil {
 		return nil
@@ -83,23 +83,23 @@
 			continue
 		}
 		start := startTime(pid) // before the rest is read: adopt compares it
-		env := environ(pid)
-		if start != "" && env[markKey] == directory {
-			list = append(list, saved{Name: env["RELAY_NAME"], Listen: env["RELAY_LISTEN"], PID: pid, Start: start})
+		env := environment(pid)
+		if start != "" && env[fleetVariable] == directory {
+			list = append(list, savedProcess{Name: env["RELAY_NAME"], Listen: env["RELAY_LISTEN"], PID: pid, StartTime: start})
 		}
 	}
 	return list
 }
 
-// environ reads the environment that a process was started with; empty where that
+// environment reads the environment that a process was started with; empty where that
 // can't be seen.
-func environ(pid int) map[string]string {
+func environment(pid int) map[string]string {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
 		return nil
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostEnviron))
+	text, err := io.ReadAll(io.LimitReader(f, maxEnvironmentBytes))
 	if err != nil {
 		return nil
 	}
@@ -112,13 +112,13 @@
 	return env
 }
 
-// mostLog is the size from which on a log is put aside at a start.
-const mostLog = 1 << 20
+// maxLogBytes is the size from which on a log is put aside at a start.
+const maxLogBytes = 1 << 20
 
 // spawn starts a child. Its output goes to a file, so that it lives on without
 // the supervisor.
 func spawn(program string, args, env []string, logPath string) (*exec.Cmd, *process, error) {
-	if info, err := os.Stat(logPath); err == nil && info.Size() > mostLog {
+	if info, err := os.Stat(logPath); err == nil && info.Size() > maxLogBytes {
 		disk.Rename(logPath, logPath+".old")
 	}
 	out, err := disk.Open(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -138,8 +138,8 @@
 	if err := cmd.Start(); err != nil {
 		return nil, nil, err
 	}
-	p := &process{pid: cmd.Process.Pid, start: startTime(cmd.Process.Pid), logAt: logAt}
-	if p.fd, err = unix.PidfdOpen(p.pid, 0); err != nil {
+	p := &process{pid: cmd.Process.Pid, startTime: startTime(cmd.Process.Pid), logOffset: logAt}
+	if p.pidfd, err = unix.PidfdOpen(p.pid, 0); err != nil {
 		cmd.Process.Kill()
 		cmd.Wait()
 		return nil, nil, fmt.Errorf("pidfd: %w", err)
@@ -161,13 +161,13 @@
 		unix.Close(fd)
 		return nil
 	}
-	return &process{pid: pid, start: start, fd: fd}
+	return &process{pid: pid, startTime: start, pidfd: fd}
 }
 
-// awaitEnd returns when a process that is no child has ended.
-func (p *process) awaitEnd() {
+// waitForExit returns when a process that is no child has ended.
+func (p *process) waitForExit() {
 	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}, -1)
+		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.pidfd), Events: unix.POLLIN}}, -1)
 		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
 			return
 		}
@@ -179,14 +179,14 @@
 	Timeout:   2 * time.Second,
 }
 
-// upState is what an instance says of itself at /up.
-type upState struct {
+// healthStatus is what an instance says of itself at /up.
+type healthStatus struct {
 	pid       int // 0 where nobody answered 200
-	good, bad int // reloads
+	reloadsSucceeded, reloadsFailed int // reloads
 }
 
-// upBy asks an instance whether it is up, and which process says so.
-func upBy(ctx context.Context, addr string) (u upState) {
+// checkHealth asks an instance whether it is up, and which process says so.
+func checkHealth(ctx context.Context, addr string) (u healthStatus) {
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/up", nil)
 	if err != nil {
 		return u
@@ -200,7 +200,7 @@
 		return u
 	}
 	u.pid, _ = strconv.Atoi(r.Header.Get("X-Pid"))
-	fmt.Sscanf(r.Header.Get("X-Reloads"), "%d/%d", &u.good, &u.bad)
+	fmt.Sscanf(r.Header.Get("X-Reloads"), "%d/%d", &u.reloadsSucceeded, &u.reloadsFailed)
 	return u
 }
 
@@ -209,13 +209,13 @@
 	askMost  = 200 * time.Millisecond
 )
 
-// awaitUp asks until is says yes, and returns true then, or false when ctx ends.
+// waitUntilHealthy asks until is says yes, and returns true then, or false when ctx ends.
 // A process of another number that answers is not the one: the old one of a
 // hand-over, or one that has nothing to do with the fleet.
-func awaitUp(ctx context.Context, addr string, is func(upState) bool) bool {
+func waitUntilHealthy(ctx context.Context, addr string, is func(healthStatus) bool) bool {
 	pause := askFirst
 	for {
-		if is(upBy(ctx, addr)) {
+		if is(checkHealth(ctx, addr)) {
 			return true
 		}
 		select {
--- a/internal/fleet/supervisor/reign.go
+++ b/internal/fleet/supervisor/reign.go
@@ -86,13 +86,13 @@
 
 var effectClient = http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}
 
-// effect wants something of one supervisor. A tenure that ends meanwhile does not
+// hostCommand wants something of one supervisor. A tenure that ends meanwhile does not
 // call it back: that would not undo it, and its outcome would not be known. Whether
 // it is too late the receiver decides.
-func (r *reign) effect(address string, e effect) (*told, error) {
-	e.Duty, e.Owner, e.Epoch = r.duty, r.me, r.epoch
+func (r *reign) effect(address string, e hostCommand) (*hostResponse, error) {
+	e.Lease, e.Holder, e.Token = r.duty, r.me, r.epoch
 	ctx, cancel := context.WithTimeout(r.ctx, effectFor)
 	defer cancel()
-	t := &told{}
+	t := &hostResponse{}
 	return t, ask.Post(ctx, &effectClient, address, effectPath, "", e, t)
 }
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -69,15 +69,15 @@
 
 const mostSaid = 50
 
-// saved is what a supervisor that comes after needs to know of a process.
-type saved struct {
+// savedProcess is what a supervisor that comes after needs to know of a process.
+type savedProcess struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	PID    int    `json:"pid"` // 0: none runs
-	Start  string `json:"start"`
-	// Order is the council's that the instance was restarted for last, under Program.
+	StartTime  string `json:"start"`
+	// Operation is the council's that the instance was restarted for last, under Program.
 	// A process bears it too; this is for a host that lost all of them at once.
-	Order   string `json:"order,omitempty"`
+	Operation   string `json:"order,omitempty"`
 	Program string `json:"program,omitempty"`
 }
 
@@ -100,7 +100,7 @@
 	for range specs {
 		s.procs = append(s.procs, map[int]*process{})
 	}
-	if s.plan, err = plan.New(f.plan(), len(specs), rand.Uint64()); err != nil {
+	if s.plan, err = plan.New(f.lifecycleConfig(), len(specs), rand.Uint64()); err != nil {
 		return nil, err
 	}
 	if s.lock, err = disk.Open(filepath.Join(f.Directory, "fleet.lock"), os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600); err != nil {
@@ -142,7 +142,7 @@
 	if err := s.joinCouncil(s.ctx); err != nil {
 		return err
 	}
-	if s.file.Alive.Within > 0 {
+	if s.file.HealthCheck.Timeout > 0 {
 		s.wg.Go(s.listen)
 	}
 	s.seen = s.now() // adopting asks each instance whether it is up
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("%s %v", format, args[0])
 }
 
-// send hands an event to Run; it is dropped once that has returned.
-func (s *Supervisor) send(ctx context.Context, f func(time.Duration) []plan.Action) {
+// enqueue hands an event to Run; it is dropped once that has returned.
+func (s *Supervisor) enqueue(ctx context.Context, f func(time.Duration) []plan.Action) {
 	select {
 	case s.events <- f:
 	case <-ctx.Done():
@@ -220,7 +220,7 @@
 // and what bears its mark, since it may have been killed between a start and the
 // note of it, or its disk been full.
 func (s *Supervisor) adoptAll() {
-	var list []saved
+	var list []savedProcess
 	text, err := disk.Read(s.statePath())
 	if err == nil {
 		err = json.Unmarshal(text, &list)
@@ -229,8 +229,8 @@
 		s.say("state of the supervisor before: %v; what bears this fleet's mark is adopted", err)
 		list = nil
 	}
-	for _, v := range marked(s.file.Directory) {
-		if !slices.ContainsFunc(list, func(w saved) bool { return w.PID == v.PID && w.Start == v.Start }) {
+	for _, v := range labeledProcesses(s.file.Directory) {
+		if !slices.ContainsFunc(list, func(w savedProcess) bool { return w.PID == v.PID && w.StartTime == v.StartTime }) {
 			s.say("%s: process %d was started and not written down", v.Name, v.PID)
 			list = append(list, v)
 		}
@@ -248,24 +248,24 @@
 	}
 	var alive []found
 	for _, v := range list {
-		if i, known := at[v.Name]; known && v.Order != "" && v.Program == s.program {
-			s.orders[i] = v.Order
+		if i, known := at[v.Name]; known && v.Operation != "" && v.Program == s.program {
+			s.orders[i] = v.Operation
 		}
-		p := adopt(v.PID, v.Start)
+		p := adopt(v.PID, v.StartTime)
 		if p == nil {
 			continue
 		}
 		// What was written down of this process is as new as its start or newer: it may
 		// have been reloaded for an order since. What was not has only what it bears.
-		p.order, p.program = cmp.Or(v.Order, environ(p.pid)[orderKey]), cmp.Or(v.Program, s.program)
+		p.operation, p.program = cmp.Or(v.Operation, environment(p.pid)[operationVariable]), cmp.Or(v.Program, s.program)
 		i, known := at[v.Name]
 		if !known || s.specs[i].Listen != v.Listen {
 			s.say("%s: process %d on %s runs, and the file names it no more: left alone", v.Name, v.PID, v.Listen)
-			unix.Close(p.fd)
+			unix.Close(p.pidfd)
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		alive = append(alive, found{i, p, upBy(ctx, v.Listen).pid == p.pid})
+		alive = append(alive, found{i, p, checkHealth(ctx, v.Listen).pid == p.pid})
 		cancel()
 	}
 	for _, up := range []bool{true, false} {
@@ -283,21 +283,21 @@
 func (s *Supervisor) adoptOne(i int, p *process, up bool) {
 	if _, n := s.plan.Phase(i); n == 0 && up {
 		p.id = s.plan.Adopt(i)
-		s.orders[i] = p.order
+		s.orders[i] = p.operation
 		s.say("%s: process %d adopted", s.specs[i].Name, p.pid)
 	} else if n == 0 {
 		p.id = s.plan.AdoptEnding(s.now(), i)
 		s.say("%s: process %d runs and does not say that it is up; its end is awaited", s.specs[i].Name, p.pid)
 	} else {
 		s.say("%s: process %d is a second one, as after a hand-over; it is left to its drain", s.specs[i].Name, p.pid)
-		unix.Close(p.fd)
+		unix.Close(p.pidfd)
 		return
 	}
 	s.procs[i][p.id] = p
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		p.awaitEnd()
+		p.waitForExit()
 		s.ended(i, p, false, "adopted, so that its exit code is not known")
 	}()
 }
@@ -306,13 +306,13 @@
 
 // save writes down which processes run, for a supervisor that comes after.
 func (s *Supervisor) save() {
-	list := []saved{}
+	list := []savedProcess{}
 	for i, procs := range s.procs {
 		for id := range procs {
-			list = append(list, saved{s.specs[i].Name, s.specs[i].Listen, procs[id].pid, procs[id].start, procs[id].order, procs[id].program})
+			list = append(list, savedProcess{s.specs[i].Name, s.specs[i].Listen, procs[id].pid, procs[id].startTime, procs[id].operation, procs[id].program})
 		}
 		if len(procs) == 0 && s.orders[i] != "" {
-			list = append(list, saved{Name: s.specs[i].Name, Listen: s.specs[i].Listen, Order: s.orders[i], Program: s.program})
+			list = append(list, savedProcess{Name: s.specs[i].Name, Listen: s.specs[i].Listen, Operation: s.orders[i], Program: s.program})
 		}
 	}
 	text, err := json.Marshal(list)
@@ -327,14 +327,14 @@
 // ended passes the end of a process on. It is called by the goroutine that
 // waited for it; what it knows goes to Run.
 func (s *Supervisor) ended(i int, p *process, clean bool, how string) {
-	s.send(s.ctx, func(now time.Duration) []plan.Action {
-		unix.Close(p.fd)
+	s.enqueue(s.ctx, func(now time.Duration) []plan.Action {
+		unix.Close(p.pidfd)
 		delete(s.procs[i], p.id)
 		inject.At("fleet-saw-the-end")
 		s.save()
 		if !clean {
 			line := ""
-			if word := lastLine(s.logPath(i), p.logAt); word != "" {
+			if word := lastLine(s.logPath(i), p.logOffset); word != "" {
 				line = "; its last word: " + word
 			}
 			s.say("%s: process %d ended: %s%s", s.specs[i].Name, p.pid, how, line)
@@ -391,16 +391,16 @@
 	return s.program, s.specs[a.Instance]
 }
 
-// start starts a process and watches it. It returns what follows of a start
+// startTime starts a process and watches it. It returns what follows of a start
 // that failed.
 func (s *Supervisor) start(a plan.Action) []plan.Action {
 	program, spec := s.of(a)
-	env := []string{"RELAY_NAME=" + spec.Name, "RELAY_LISTEN=" + spec.Listen, markKey + "=" + s.file.Directory}
+	env := []string{"RELAY_NAME=" + spec.Name, "RELAY_LISTEN=" + spec.Listen, fleetVariable + "=" + s.file.Directory}
 	order := s.orders[a.Instance]
 	if a.New && s.next != nil && s.next.order != "" {
 		order = s.next.order
 	}
-	env = append(env, orderKey+"="+order)
+	env = append(env, operationVariable+"="+order)
 	var err error
 	if spec.Config != "" {
 		err = disk.Replace(s.configPath(a.Instance), []byte(spec.Config), false)
@@ -414,7 +414,7 @@
 		inject.At("fleet-starts")
 		cmd, p, e := spawn(program, spec.Args, env, s.logPath(a.Instance))
 		if err = e; err == nil {
-			p.id, p.order, p.program = a.Proc, order, program
+			p.id, p.operation, p.program = a.Proc, order, program
 			s.procs[a.Instance][p.id] = p
 			inject.At("fleet-started")
 			s.save()
@@ -445,9 +445,9 @@
 	s.wg.Add(2)
 	go func() {
 		defer s.wg.Done()
-		if awaitUp(ctx, addr, func(u upState) bool { return u.pid == p.pid }) {
+		if waitUntilHealthy(ctx, addr, func(u healthStatus) bool { return u.pid == p.pid }) {
 			inject.At("fleet-saw-it-ready")
-			s.send(ctx, func(now time.Duration) []plan.Action { return s.plan.Ready(now, i, p.id) })
+			s.enqueue(ctx, func(now time.Duration) []plan.Action { return s.plan.Ready(now, i, p.id) })
 		}
 	}()
 	go func() {
@@ -474,22 +474,22 @@
 			s.say("%s: reload: %v", spec.Name, err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, s.file.Start.Ready)
+	ctx, cancel := context.WithTimeout(s.ctx, s.file.Start.ReadyTimeout)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		defer cancel()
-		before := upBy(ctx, spec.Listen)
+		before := checkHealth(ctx, spec.Listen)
 		p.signal(syscall.SIGHUP)
-		var after upState
-		if !awaitUp(ctx, spec.Listen, func(u upState) bool {
+		var after healthStatus
+		if !waitUntilHealthy(ctx, spec.Listen, func(u healthStatus) bool {
 			after = u
-			return u.pid == p.pid && u.good+u.bad > before.good+before.bad
+			return u.pid == p.pid && u.reloadsSucceeded+u.reloadsFailed > before.reloadsSucceeded+before.reloadsFailed
 		}) {
 			return // the plan's own time limit ends it
 		}
-		s.send(ctx, func(now time.Duration) []plan.Action {
-			if after.bad > before.bad {
+		s.enqueue(ctx, func(now time.Duration) []plan.Action {
+			if after.reloadsFailed > before.reloadsFailed {
 				return s.plan.Unready(now, a.Instance, a.Proc)
 			}
 			return s.plan.Ready(now, a.Instance, a.Proc)
@@ -531,7 +531,7 @@
 				return
 			}
 			answer := make(chan string, 1)
-			s.send(ctx, func(now time.Duration) []plan.Action {
+			s.enqueue(ctx, func(now time.Duration) []plan.Action {
 				text, acts, err := s.command(now, strings.Fields(line))
 				if err != nil {
 					text = "error: " + err.Error() + "\n"
@@ -667,8 +667,8 @@
 	return b.String()
 }
 
-// Ask sends one command to the supervisor at path and returns its answer.
-func Ask(path string, words ...string) (string, error) {
+// SendCommand sends one command to the supervisor at path and returns its answer.
+func SendCommand(path string, words ...string) (string, error) {
 	c, err := net.DialTimeout("unix", path, time.Second)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
--- a/internal/fleet/supervisor/wire_test.go
+++ b/internal/fleet/supervisor/wire_test.go
@@ -34,33 +34,33 @@
 	t.Parallel()
 	keytest.Compare(t, filepath.Join("testdata", "keys.txt"), []keytest.Marshaled{
 		{Role: "fleet file", Encoding: "toml", Value: File{}},
-		{Role: "state file", Encoding: "json", Value: []saved{}},
-		{Role: "request of a leader to a host", Encoding: "json", Value: effect{}},
-		{Role: "response of a host to a leader", Encoding: "json", Value: told{}},
-		{Role: "host status at the council", Encoding: "json", Value: fact{}},
+		{Role: "state file", Encoding: "json", Value: []savedProcess{}},
+		{Role: "request of a leader to a host", Encoding: "json", Value: hostCommand{}},
+		{Role: "response of a host to a leader", Encoding: "json", Value: hostResponse{}},
+		{Role: "host status at the council", Encoding: "json", Value: hostRecord{}},
 	})
 }
 
 // wireValues are one value for each kind of message and file, with all fields set.
 func wireValues() map[string]any {
 	return map[string]any{
-		"state": &[]saved{
-			{Name: "n1", Listen: "127.0.0.1:20000", PID: 4711, Start: "123456", Order: "r0000002a", Program: "/bin/sidecar"},
-			{Name: "n2", Listen: "127.0.0.1:20001", PID: 0, Start: "", Order: "r0000002a", Program: "/bin/sidecar"},
-			{Name: "n3", Listen: "127.0.0.1:20002", PID: 4713, Start: "123458"},
+		"state": &[]savedProcess{
+			{Name: "n1", Listen: "127.0.0.1:20000", PID: 4711, StartTime: "123456", Operation: "r0000002a", Program: "/bin/sidecar"},
+			{Name: "n2", Listen: "127.0.0.1:20001", PID: 0, StartTime: "", Operation: "r0000002a", Program: "/bin/sidecar"},
+			{Name: "n3", Listen: "127.0.0.1:20002", PID: 4713, StartTime: "123458"},
 		},
-		"effect-look":    &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "look"},
-		"effect-restart": &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "restart", Instance: "n1", Order: "r0000002a", Program: "/bin/sidecar"},
-		"effect-reload":  &effect{Duty: "roll", Owner: "h1.0a1b", Epoch: council.Epoch(3<<32 + 7), Do: "reload", Instance: "n1", Order: "r0000002a"},
-		"effect-list": &effect{Duty: "list:a", Owner: "h1.0a1b", Epoch: council.Epoch(9), Do: "list", List: &listPush{
-			Source: "discovery", From: 4, Text: json.RawMessage(`{"index":5,"snapshot":false,"endpoints":[]}`), Fresh: true,
+		"effect-look":    &hostCommand{Lease: "roll", Holder: "h1.0a1b", Token: council.Epoch(3<<32 + 7), Kind: "look"},
+		"effect-restart": &hostCommand{Lease: "roll", Holder: "h1.0a1b", Token: council.Epoch(3<<32 + 7), Kind: "restart", Instance: "n1", Operation: "r0000002a", Program: "/bin/sidecar"},
+		"effect-reload":  &hostCommand{Lease: "roll", Holder: "h1.0a1b", Token: council.Epoch(3<<32 + 7), Kind: "reload", Instance: "n1", Operation: "r0000002a"},
+		"effect-list": &hostCommand{Lease: "list:a", Holder: "h1.0a1b", Token: council.Epoch(9), Kind: "list", List: &listPush{
+			Source: "discovery", From: 4, Text: json.RawMessage(`{"index":5,"snapshot":false,"endpoints":[]}`), LeaderFresh: true,
 		}},
-		"told": &told{Refused: "no", Index: 5, Late: 2, Host: everywhere.Host{
+		"told": &hostResponse{Rejected: "no", ListVersion: 5, StaleCommands: 2, Host: everywhere.Host{
 			Name: "h1", Zone: "a", Program: "/bin/sidecar", Rolling: "1 of 2",
 			Instances: []everywhere.Instance{{Name: "n1", Up: true, Order: "r0000002a", Failed: "r00000029"}, {Name: "n2"}},
 		}},
-		"told-empty": &told{},
-		"fact":       &fact{Zone: "a", Address: "127.0.0.1:7001", Instances: 2, Program: "/bin/sidecar"},
+		"told-empty": &hostResponse{},
+		"fact":       &hostRecord{Zone: "a", Address: "127.0.0.1:7001", Instances: 2, Program: "/bin/sidecar"},
 	}
 }
 
@@ -121,12 +121,12 @@
 		Directory: filepath.Join(dir, "run"), Control: filepath.Join(dir, "control.sock"), Config: "base.json",
 		Count: 2, Name: "c{i}", Listen: "127.0.0.1:{port}", FirstPort: 21000,
 		Instances: []Instance{{Name: "single", Listen: "127.0.0.1:22000", Config: "base.json"}},
-		Start:     Start{Lines: 1000, CallLines: 10, ListLines: 20, Ready: 11 * time.Second},
-		Restart:   Restart{Mode: "handover", AtOnce: 3, EndWithin: 12 * time.Second, PauseAfter: 4},
-		Crash:     Crash{First: 13 * time.Millisecond, Most: 14 * time.Second, Loop: 6, Within: 15 * time.Second},
-		Alive:     Alive{Within: 16 * time.Second},
-		Council:   Council{Name: "world", Members: []string{"127.0.0.1:7000"}, Host: "h1", Zone: "a", Listen: "127.0.0.1:7001"},
-		List: ListFile{Discovery: "127.0.0.1:7002", Listen: "127.0.0.1:7003", Source: "other",
+		Start:     StartSettings{DiscoveryLines: 1000, CallLines: 10, ListLines: 20, ReadyTimeout: 11 * time.Second},
+		Restart:   RestartSettings{Mode: "handover", MaxConcurrent: 3, StopTimeout: 12 * time.Second, MaxConsecutiveFailures: 4},
+		Crash:     CrashSettings{InitialBackoff: 13 * time.Millisecond, MaxBackoff: 14 * time.Second, LoopCrashes: 6, LoopWindow: 15 * time.Second},
+		HealthCheck:     HealthCheckSettings{Timeout: 16 * time.Second},
+		Coordination:   CoordinationSettings{Name: "world", Members: []string{"127.0.0.1:7000"}, Host: "h1", Zone: "a", Listen: "127.0.0.1:7001"},
+		EndpointList: EndpointListSettings{Discovery: "127.0.0.1:7002", Listen: "127.0.0.1:7003", Source: "other",
 			HeartbeatTimeout: 2 * time.Second, Jitter: 3 * time.Second, StalenessLimit: 5 * time.Second},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Council.Host, f.Council.Zone = "h1", "a"
+	f.Coordination.Host, f.Coordination.Zone = "h1", "a"
 	s, err := New(f, logs.New(io.Discard, logs.Options{}))
 	if err != nil {
 		t.Fatal(err)
@@ -224,7 +224,7 @@
 	go func() { done <- s.Run(t.Context()) }()
 	post := func(method, path, body string) (int, string) {
 		w := httptest.NewRecorder()
-		s.takeEffect(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+		s.serveHostCommand(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		return w.Code, strings.TrimSpace(w.Body.String())
 	}
 	const look = `{"duty":"roll","owner":"h2.1","epoch":7,"do":"look"}`
@@ -241,7 +241,7 @@
 		!regexp.MustCompile(`^\{"refused":"[^"]+","host":\{"host":"","zone":"","program":"","instances":null\},"late":1\}$`).MatchString(text) {
 		t.Errorf("before the council was heard: %d %s", code, text)
 	}
-	s.send(t.Context(), func(time.Duration) []plan.Action { s.fence.Hear("roll", council.Tenant{}); return nil })
+	s.enqueue(t.Context(), func(time.Duration) []plan.Action { s.fence.Hear("roll", council.Tenant{}); return nil })
 	want := fmt.Sprintf(`{"host":{"host":"h1","zone":"a","program":%q,"instances":[{"name":"n1","up":true}]},"late":1}`, f.Program)
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
 		code, text := post("POST", "/v1/effect", look)
@@ -278,7 +278,7 @@
 			t.Errorf("%s: %s, wanted a refusal that names %s", body, text, want)
 		}
 	}
-	if text, err := Ask(f.Control, "stop"); err != nil || text != "stopping\n" {
+	if text, err := SendCommand(f.Control, "stop"); err != nil || text != "stopping\n" {
 		t.Errorf("stop: %q %v", text, err)
 	}
 	if err := <-done; err != nil {
@@ -292,7 +292,7 @@
 	settings := list.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
 	p := &listProxy{
 		supervisor: &Supervisor{log: logs.New(io.Discard, logs.Options{})},
-		duty:       listDuty("a"),
+		lease:       endpointListLease("a"),
 		cache:      list.NewCache("source"),
 		watcher:    list.NewWatcher(settings, "h1", bootclock.Now()),
 		changed:    make(chan struct{}),
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -98,7 +98,7 @@
 
 	// Supervisors.
 	{Name: "start-unwritten", Played: betweenKill, File: "internal/fleet/supervisor/supervisor.go", Breaks: "a supervisor killed between a start and its note leaves an instance that nobody owns",
-		Old: "range marked(s.file.Directory) {", New: "range marked(\"\") {"},
+		Old: "range labeledProcesses(s.file.Directory) {", New: "range labeledProcesses(\"\") {"},
 
 	// The council.
 	{Name: "renewed-at-its-end", File: "internal/fleet/council/rules.go", Breaks: "a lease is renewed while its end is on its way to the members",
@@ -116,13 +116,13 @@
 	{Name: "stores-nothing", File: "internal/fleet/council/node/node.go", Breaks: "a member promises what it did not write down",
 		Old: "if err := n.store.save(out); err != nil {", New: "if err := n.store.save(council.Output{Snapshot: out.Snapshot}); err != nil {"},
 	{Name: "effect-unfenced", Played: ownerStopped, File: "internal/fleet/supervisor/everywhere.go", Breaks: "a supervisor does what a late owner wants",
-		Old: "Epoch: e.Epoch}); err != nil {", New: "Epoch: e.Epoch}); err != nil && e.Epoch == 0 {"},
+		Old: "Epoch: e.Token}); err != nil {", New: "Epoch: e.Token}); err != nil && e.Token == 0 {"},
 	{Name: "unreached-counts-not", Played: ownerCut, File: "internal/fleet/everywhere/everywhere.go", Breaks: "the owner goes on while it has not reached all hosts",
 		Old: "\t\tif !h.Reached {\n", New: "\t\tif !h.Reached && h.Name == \"\" {\n"},
 	{Name: "order-unmarked", Played: ownerDrawn, File: "internal/fleet/supervisor/supervisor.go", Breaks: "a process does not bear the order that it was started for",
-		Old: "env = append(env, orderKey+\"=\"+order)", New: "env = append(env, orderKey+\"=\")"},
+		Old: "env = append(env, operationVariable+\"=\"+order)", New: "env = append(env, operationVariable+\"=\")"},
 	{Name: "order-unwritten", Played: ownerDrawn, File: "internal/fleet/supervisor/supervisor.go", Breaks: "what was done for an order is forgotten with a host's processes",
-		Old: "if i, known := at[v.Name]; known && v.Order", New: "if i, known := at[v.Name]; known && v.PID < 0 && v.Order"},
+		Old: "if i, known := at[v.Name]; known && v.Operation", New: "if i, known := at[v.Name]; known && v.PID < 0 && v.Operation"},
 	{Name: "epoch-stands", File: "internal/fleet/council/state.go", Breaks: "a new owner has the old one's epoch",
 		Old: "max(d.Epoch+1, Epoch(s.Space)<<32+1)", New: "max(d.Epoch, Epoch(s.Space)<<32+1)"},
 	{Name: "fence-open", Played: ownerStopped, File: "internal/fleet/council/rules.go", Breaks: "a receiver takes the effects of a late owner",
@@ -136,7 +136,7 @@
 		Old: "answered := map[uint64]bool{n.number: true}", New: "answered := map[uint64]bool{n.number: true, 1 << 40: true}"},
 
 	{Name: "list-unfenced", Played: listOwner, File: "internal/fleet/supervisor/everywhere.go", Breaks: "a supervisor takes the list of a late owner",
-		Old: "Epoch: e.Epoch}); err != nil {", New: "Epoch: e.Epoch}); err != nil && e.Do != \"list\" {"},
+		Old: "Epoch: e.Token}); err != nil {", New: "Epoch: e.Token}); err != nil && e.Kind != \"list\" {"},
 	{Name: "list-kept", Played: listGives, File: "internal/fleet/supervisor/list.go", Breaks: "an owner whose calls to discovery fail keeps the duty",
 		Old: "\tdefer cancel()\n\twg.Go(func() { p.watchHosts", New: "\t_ = cancel\n\twg.Go(func() { p.watchHosts"},
 	{Name: "list-older", Played: listLag, File: "internal/fleet/duty/list/list.go", Breaks: "a list is taken although it is older",
