--- a/internal/fleet/supervisor/file.go
+++ b/internal/fleet/supervisor/file.go
@@ -1,6 +1,6 @@
 // Package supervisor supervises many instances on one host as child processes: it
 // starts, watches, restarts and reloads them. What it does next is decided by
-// package plan; this package has the processes, sockets and files.
+// package lifecycle; this package has the processes, sockets and files.
 package supervisor
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/strictfile"
 )
 
@@ -25,26 +25,26 @@
 
 // File is a fleet file.
 type File struct {
-	Path      string
-	Program   string     `toml:"program" need:"true"`   // the sidecar
-	Args      []string   `toml:"args" max:"50"`         // its arguments; may hold {name} and the like
-	Directory string     `toml:"directory" need:"true"` // for sockets, configurations, logs and the state
-	Control   string     `toml:"control"`               // path of the control socket; directory/fleet.sock if empty
-	Config    string     `toml:"config"`                // template of the configuration
-	Count     int        `toml:"count" min:"1" max:"1000"`
-	Name      string     `toml:"name"`   // of counted instances, with {i}
-	Listen    string     `toml:"listen"` // with {i} or {port}
-	FirstPort int        `toml:"first_port" min:"1" max:"65535"`
-	Instances []Instance `toml:"instance" max:"1000"`
-	Start     StartSettings      `toml:"start"`
-	Restart   RestartSettings    `toml:"restart"`
-	Crash     CrashSettings      `toml:"crash"`
-	HealthCheck     HealthCheckSettings      `toml:"alive"`
-	Coordination   CoordinationSettings    `toml:"council"`
-	EndpointList      EndpointListSettings   `toml:"list"`
+	Path         string
+	Program      string               `toml:"program" need:"true"`   // the sidecar
+	Args         []string             `toml:"args" max:"50"`         // its arguments; may hold {name} and the like
+	Directory    string               `toml:"directory" need:"true"` // for sockets, configurations, logs and the state
+	Control      string               `toml:"control"`               // path of the control socket; directory/fleet.sock if empty
+	Config       string               `toml:"config"`                // template of the configuration
+	Count        int                  `toml:"count" min:"1" max:"1000"`
+	Name         string               `toml:"name"`   // of counted instances, with {i}
+	Listen       string               `toml:"listen"` // with {i} or {port}
+	FirstPort    int                  `toml:"first_port" min:"1" max:"65535"`
+	Instances    []Instance           `toml:"instance" max:"1000"`
+	Start        StartSettings        `toml:"start"`
+	Restart      RestartSettings      `toml:"restart"`
+	Crash        CrashSettings        `toml:"crash"`
+	HealthCheck  HealthCheckSettings  `toml:"alive"`
+	Coordination CoordinationSettings `toml:"council"`
+	EndpointList EndpointListSettings `toml:"list"`
 }
 
-// CoordinationSettings says which council this host belongs to; none without a name.
+// Coordination says which council this host belongs to; none without a name.
 type CoordinationSettings struct {
 	Name    string   `toml:"name"`
 	Members []string `toml:"members" max:"7"` // where its members listen
@@ -59,36 +59,36 @@
 	Timeout time.Duration `toml:"within" min:"0s" max:"10m"` // 0 for never
 }
 
-// Instance is one instance that is named by itself.
+// InstanceStatus is one instance that is named by itself.
 type Instance struct {
 	Name   string `toml:"name" need:"true"`
 	Listen string `toml:"listen" need:"true"`
 	Config string `toml:"config"` // its own template
 }
 
-// StartSettings spreads the starts so that discovery can follow: a start costs it one
+// StartProcess spreads the starts so that discovery can follow: a start costs it one
 // call and the whole list.
 type StartSettings struct {
-	DiscoveryLines     int           `toml:"discovery_lines" min:"1" max:"100000"` // a second, that may be used
-	CallLines int           `toml:"call_lines" min:"0" max:"1000"`        // fixed cost of a call
-	ListLines int           `toml:"list_lines" min:"1" max:"10000"`       // servers in the list
-	ReadyTimeout     time.Duration `toml:"ready_within" min:"100ms" max:"10m"`
+	DiscoveryLines int           `toml:"discovery_lines" min:"1" max:"100000"` // a second, that may be used
+	CallLines      int           `toml:"call_lines" min:"0" max:"1000"`        // fixed cost of a call
+	ListLines      int           `toml:"list_lines" min:"1" max:"10000"`       // servers in the list
+	ReadyTimeout   time.Duration `toml:"ready_within" min:"100ms" max:"10m"`
 }
 
 // RestartSettings says how instances are rolled.
 type RestartSettings struct {
-	Mode       string        `toml:"mode" oneof:"term|handover"`
-	MaxConcurrent     int           `toml:"at_once" min:"1" max:"100"`
-	StopTimeout  time.Duration `toml:"end_within" min:"100ms" max:"10m"`
+	Mode                   string        `toml:"mode" oneof:"term|handover"`
+	MaxConcurrent          int           `toml:"at_once" min:"1" max:"100"`
+	StopTimeout            time.Duration `toml:"end_within" min:"100ms" max:"10m"`
 	MaxConsecutiveFailures int           `toml:"pause_after" min:"1" max:"100"`
 }
 
 // CrashSettings says how instances that ended by themselves are started again.
 type CrashSettings struct {
-	InitialBackoff  time.Duration `toml:"first" min:"10ms" max:"1m"`
-	MaxBackoff   time.Duration `toml:"most" min:"10ms" max:"1h"`
-	LoopCrashes   int           `toml:"loop" min:"2" max:"100"`
-	LoopWindow time.Duration `toml:"within" min:"1s" max:"24h"`
+	InitialBackoff time.Duration `toml:"first" min:"10ms" max:"1m"`
+	MaxBackoff     time.Duration `toml:"most" min:"10ms" max:"1h"`
+	LoopCrashes    int           `toml:"loop" min:"2" max:"100"`
+	LoopWindow     time.Duration `toml:"within" min:"1s" max:"24h"`
 }
 
 // defaults are what a file need not say. The lines are the least that the
@@ -96,10 +96,10 @@
 func defaults() File {
 	return File{
 		Name: "n{i}", FirstPort: 20000,
-		Start:   StartSettings{DiscoveryLines: 280, CallLines: 77, ListLines: 70, ReadyTimeout: 10 * time.Second},
-		Restart: RestartSettings{Mode: "term", MaxConcurrent: 1, StopTimeout: 30 * time.Second, MaxConsecutiveFailures: 2},
-		EndpointList:    EndpointListSettings{Source: "discovery", HeartbeatTimeout: 1500 * time.Millisecond, Jitter: 2 * time.Second, StalenessLimit: 4 * time.Second},
-		Crash:   CrashSettings{InitialBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second, LoopCrashes: 5, LoopWindow: time.Minute},
+		Start:        StartSettings{DiscoveryLines: 280, CallLines: 77, ListLines: 70, ReadyTimeout: 10 * time.Second},
+		Restart:      RestartSettings{Mode: "term", MaxConcurrent: 1, StopTimeout: 30 * time.Second, MaxConsecutiveFailures: 2},
+		EndpointList: EndpointListSettings{Source: "discovery", HeartbeatTimeout: 1500 * time.Millisecond, Jitter: 2 * time.Second, StalenessLimit: 4 * time.Second},
+		Crash:        CrashSettings{InitialBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second, LoopCrashes: 5, LoopWindow: time.Minute},
 	}
 }
 
@@ -267,12 +267,12 @@
 }
 
 // lifecycleConfig is the file as the decisions see it.
-func (f *File) lifecycleConfig() plan.Config {
+func (f *File) lifecycleConfig() lifecycle.Config {
 	perStart := float64(f.Start.CallLines+f.Start.ListLines) / float64(f.Start.DiscoveryLines)
-	return plan.Config{
-		Gap:         time.Duration(perStart * float64(time.Second)),
-		ReadyWithin: f.Start.ReadyTimeout, EndWithin: f.Restart.StopTimeout,
-		AtOnce: f.Restart.MaxConcurrent, HandOver: f.Restart.Mode == "handover", PauseAfter: f.Restart.MaxConsecutiveFailures,
-		BackoffFirst: f.Crash.InitialBackoff, BackoffMost: f.Crash.MaxBackoff, LoopCrashes: f.Crash.LoopCrashes, LoopWithin: f.Crash.LoopWindow,
+	return lifecycle.Config{
+		StartInterval: time.Duration(perStart * float64(time.Second)),
+		ReadyTimeout:  f.Start.ReadyTimeout, ShutdownTimeout: f.Restart.StopTimeout,
+		MaxConcurrent: f.Restart.MaxConcurrent, Handover: f.Restart.Mode == "handover", PauseAfterFailures: f.Restart.MaxConsecutiveFailures,
+		InitialBackoff: f.Crash.InitialBackoff, MaxBackoff: f.Crash.MaxBackoff, CrashLoopCount: f.Crash.LoopCrashes, CrashLoopWindow: f.Crash.LoopWindow,
 	}
 }
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -20,10 +20,10 @@
 
 // process is a process of an instance, a child or one that was adopted.
 type process struct {
-	id    int // the plan's number
-	pid   int
+	id        int // the plan's number
+	pid       int
 	startTime string // its start time as the kernel has it, against reuse of the pid
-	pidfd    int    // pidfd
+	pidfd     int    // pidfd
 	logOffset int64  // size of the log when it started
 	// operation is the council's that it was started for, program what it was started of.
 	operation, program string
@@ -181,7 +181,7 @@
 
 // healthStatus is what an instance says of itself at /up.
 type healthStatus struct {
-	pid       int // 0 where nobody answered 200
+	pid                             int // 0 where nobody answered 200
 	reloadsSucceeded, reloadsFailed int // reloads
 }
 
--- a/internal/fleet/supervisor/wire_test.go
+++ b/internal/fleet/supervisor/wire_test.go
@@ -20,9 +20,9 @@
 
 	"otterspring/internal/bootclock"
 	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/duty/list"
-	"otterspring/internal/fleet/everywhere"
-	"otterspring/internal/fleet/plan"
+	"otterspring/internal/fleet/endpointlist"
+	"otterspring/internal/fleet/lifecycle"
+	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/keytest"
 	"otterspring/internal/logs"
 )
@@ -55,9 +55,9 @@
 		"effect-list": &hostCommand{Lease: "list:a", Holder: "h1.0a1b", Token: council.Epoch(9), Kind: "list", List: &listPush{
 			Source: "discovery", From: 4, Text: json.RawMessage(`{"index":5,"snapshot":false,"endpoints":[]}`), LeaderFresh: true,
 		}},
-		"told": &hostResponse{Rejected: "no", ListVersion: 5, StaleCommands: 2, Host: everywhere.Host{
-			Name: "h1", Zone: "a", Program: "/bin/sidecar", Rolling: "1 of 2",
-			Instances: []everywhere.Instance{{Name: "n1", Up: true, Order: "r0000002a", Failed: "r00000029"}, {Name: "n2"}},
+		"told": &hostResponse{Rejected: "no", ListVersion: 5, StaleCommands: 2, Host: rollout.HostStatus{
+			Name: "h1", Zone: "a", Program: "/bin/sidecar", LocalUpdate: "1 of 2",
+			Instances: []rollout.InstanceStatus{{Name: "n1", Ready: true, RolloutID: "r0000002a", FailedRolloutID: "r00000029"}, {Name: "n2"}},
 		}},
 		"told-empty": &hostResponse{},
 		"fact":       &hostRecord{Zone: "a", Address: "127.0.0.1:7001", Instances: 2, Program: "/bin/sidecar"},
@@ -120,12 +120,12 @@
 		Path: path, Program: filepath.Join(dir, "sidecar"), Args: []string{"-operator", "{dir}/{name}.toml"},
 		Directory: filepath.Join(dir, "run"), Control: filepath.Join(dir, "control.sock"), Config: "base.json",
 		Count: 2, Name: "c{i}", Listen: "127.0.0.1:{port}", FirstPort: 21000,
-		Instances: []Instance{{Name: "single", Listen: "127.0.0.1:22000", Config: "base.json"}},
-		Start:     StartSettings{DiscoveryLines: 1000, CallLines: 10, ListLines: 20, ReadyTimeout: 11 * time.Second},
-		Restart:   RestartSettings{Mode: "handover", MaxConcurrent: 3, StopTimeout: 12 * time.Second, MaxConsecutiveFailures: 4},
-		Crash:     CrashSettings{InitialBackoff: 13 * time.Millisecond, MaxBackoff: 14 * time.Second, LoopCrashes: 6, LoopWindow: 15 * time.Second},
-		HealthCheck:     HealthCheckSettings{Timeout: 16 * time.Second},
-		Coordination:   CoordinationSettings{Name: "world", Members: []string{"127.0.0.1:7000"}, Host: "h1", Zone: "a", Listen: "127.0.0.1:7001"},
+		Instances:    []Instance{{Name: "single", Listen: "127.0.0.1:22000", Config: "base.json"}},
+		Start:        StartSettings{DiscoveryLines: 1000, CallLines: 10, ListLines: 20, ReadyTimeout: 11 * time.Second},
+		Restart:      RestartSettings{Mode: "handover", MaxConcurrent: 3, StopTimeout: 12 * time.Second, MaxConsecutiveFailures: 4},
+		Crash:        CrashSettings{InitialBackoff: 13 * time.Millisecond, MaxBackoff: 14 * time.Second, LoopCrashes: 6, LoopWindow: 15 * time.Second},
+		HealthCheck:  HealthCheckSettings{Timeout: 16 * time.Second},
+		Coordination: CoordinationSettings{Name: "world", Members: []string{"127.0.0.1:7000"}, Host: "h1", Zone: "a", Listen: "127.0.0.1:7001"},
 		EndpointList: EndpointListSettings{Discovery: "127.0.0.1:7002", Listen: "127.0.0.1:7003", Source: "other",
 			HeartbeatTimeout: 2 * time.Second, Jitter: 3 * time.Second, StalenessLimit: 5 * time.Second},
 	}
@@ -241,7 +241,7 @@
 		!regexp.MustCompile(`^\{"refused":"[^"]+","host":\{"host":"","zone":"","program":"","instances":null\},"late":1\}$`).MatchString(text) {
 		t.Errorf("before the council was heard: %d %s", code, text)
 	}
-	s.enqueue(t.Context(), func(time.Duration) []plan.Action { s.fence.Hear("roll", council.Tenant{}); return nil })
+	s.enqueue(t.Context(), func(time.Duration) []lifecycle.Action { s.fence.Hear("roll", council.Tenant{}); return nil })
 	want := fmt.Sprintf(`{"host":{"host":"h1","zone":"a","program":%q,"instances":[{"name":"n1","up":true}]},"late":1}`, f.Program)
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
 		code, text := post("POST", "/v1/effect", look)
@@ -289,12 +289,12 @@
 // The local endpoint answers a host's sidecars as discovery would.
 func TestLocalEndpointOverHTTP(t *testing.T) {
 	t.Parallel()
-	settings := list.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
+	settings := endpointlist.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
 	p := &listProxy{
 		supervisor: &Supervisor{log: logs.New(io.Discard, logs.Options{})},
-		lease:       endpointListLease("a"),
-		cache:      list.NewCache("source"),
-		watcher:    list.NewWatcher(settings, "h1", bootclock.Now()),
+		lease:      endpointListLease("a"),
+		cache:      endpointlist.NewCache("source"),
+		watcher:    endpointlist.NewWatcher(settings, "h1", bootclock.Now()),
 		changed:    make(chan struct{}),
 	}
 	get := func(method, target string) *httptest.ResponseRecorder {
@@ -312,7 +312,7 @@
 		t.Errorf("another path: %d", w.Code)
 	}
 	const snapshot = `{"index":5,"snapshot":true,"endpoints":[{"name":"s1","status":"active"}]}`
-	u, err := list.Decode([]byte(snapshot), "source", 0)
+	u, err := endpointlist.Decode([]byte(snapshot), "source", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
