--- /dev/null
+++ b/internal/fleet/supervisor/actions.go
@@ -0,0 +1,228 @@
+package supervisor
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"otterspring/internal/disk"
+	"otterspring/internal/fleet/lifecycle"
+	"otterspring/internal/inject"
+)
+
+// fleetName stands for an instance's name in events of the whole fleet.
+const fleetName = "fleet"
+
+// execute carries out decisions of the lifecycle, and those that follow from them.
+func (s *Supervisor) execute(ctx context.Context, actions []lifecycle.Action) {
+	for len(actions) > 0 {
+		action := actions[0]
+		actions = actions[1:]
+		switch action.Kind {
+		case lifecycle.StartProcess:
+			actions = append(actions, s.start(ctx, action)...)
+		case lifecycle.TerminateProcess:
+			s.signal(action, syscall.SIGTERM)
+		case lifecycle.KillProcess:
+			s.signal(action, syscall.SIGKILL)
+		case lifecycle.ReloadProcess:
+			s.reload(ctx, action)
+		case lifecycle.CommitRelease:
+			s.commitUpdate()
+		case lifecycle.Report:
+			name := fleetName
+			if action.Instance >= 0 {
+				name = s.specs[action.Instance].Name
+			}
+			s.events.Info("lifecycle decision", "instance", name, "decision", action.Text)
+		}
+		s.readClock()
+	}
+}
+
+func (s *Supervisor) logPath(i int) string {
+	return filepath.Join(s.file.Directory, s.specs[i].Name+".log")
+}
+
+func (s *Supervisor) configPath(i int) string {
+	return filepath.Join(s.file.Directory, s.specs[i].Name+".json")
+}
+
+// start starts a process and watches it. It returns what follows from a start that
+// failed.
+func (s *Supervisor) start(ctx context.Context, action lifecycle.Action) []lifecycle.Action {
+	if err := s.startProcess(ctx, action); err != nil {
+		s.events.Info("start failed", "instance", s.specs[action.Instance].Name, "error", err)
+		return s.lifecycle.ProcessExited(s.now(), action.Instance, action.Process, false)
+	}
+	return nil
+}
+
+func (s *Supervisor) startProcess(ctx context.Context, action lifecycle.Action) error {
+	i := action.Instance
+	program, spec := s.programAndSpec(action)
+	operation := s.operations[i]
+	if action.FromRelease && s.update != nil && s.update.operation != "" {
+		operation = s.update.operation
+	}
+	env := []string{"RELAY_NAME=" + spec.Name, "RELAY_LISTEN=" + spec.Listen, fleetVariable + "=" + s.file.Directory}
+	env = append(env, operationVariable+"="+operation)
+	if spec.Config != "" {
+		if err := disk.Replace(s.configPath(i), []byte(spec.Config), false); err != nil {
+			return err
+		}
+		env = append(env, "RELAY_CONFIG="+s.configPath(i))
+	}
+	// A foreign process on the address is named before anything starts.
+	if err := s.checkAddressFree(i, spec.Listen); err != nil {
+		return err
+	}
+	inject.At("fleet-starts")
+	if err := rotateLog(s.logPath(i)); err != nil {
+		s.log.Warn("log not rotated", "instance", spec.Name, "error", err)
+	}
+	cmd, p, err := spawn(program, spec.Args, env, s.logPath(i))
+	if err != nil {
+		return err
+	}
+	p.id, p.operation, p.program = action.Process, operation, program
+	s.processes[i][p.id] = p
+	inject.At("fleet-started")
+	s.saveState()
+	inject.At("fleet-saved")
+	s.watch(ctx, i, p, spec.Listen, cmd.Wait)
+	return nil
+}
+
+// checkAddressFree fails where an instance without a process can't bind its address.
+func (s *Supervisor) checkAddressFree(i int, address string) error {
+	if len(s.processes[i]) > 0 {
+		return nil // the old process of a handover has it
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("address %s is in use by a process outside this fleet, or can't be bound: %w", address, err)
+	}
+	return listener.Close()
+}
+
+// watch reports when a process is ready and when it has ended, by two goroutines
+// that end with the process.
+func (s *Supervisor) watch(ctx context.Context, i int, proc *process, address string, wait func() error) {
+	alive, cancel := context.WithCancel(ctx)
+	s.goroutines.Go(func() {
+		if waitUntilHealthy(alive, address, func(status healthStatus) bool { return status.pid == proc.pid }) {
+			inject.At("fleet-saw-it-ready")
+			s.enqueue(alive, func(now time.Duration) []lifecycle.Action { return s.lifecycle.ProcessReady(now, i, proc.id) })
+		}
+	})
+	s.goroutines.Go(func() {
+		err := wait()
+		cancel()
+		if err != nil {
+			s.reportExit(ctx, i, proc, exit{status: err.Error()})
+			return
+		}
+		s.reportExit(ctx, i, proc, exit{clean: true})
+	})
+}
+
+// exit is how a process ended.
+type exit struct {
+	clean  bool   // exit code 0
+	status string // the exit code or signal of one that is not clean
+}
+
+// reportExit hands the end of a process to the event loop. The goroutine that
+// waited for the end calls it.
+func (s *Supervisor) reportExit(ctx context.Context, i int, proc *process, result exit) {
+	s.enqueue(ctx, func(now time.Duration) []lifecycle.Action {
+		s.closeHandle(proc)
+		delete(s.processes[i], proc.id)
+		inject.At("fleet-saw-the-end")
+		s.saveState()
+		if !result.clean {
+			attributes := []any{"instance", s.specs[i].Name, "pid", proc.pid, "status", result.status}
+			if line := s.lastOutput(i, proc); line != "" {
+				attributes = append(attributes, "last_output", line)
+			}
+			s.events.Info("process ended", attributes...)
+		}
+		return s.lifecycle.ProcessExited(now, i, proc.id, result.clean)
+	})
+}
+
+// lastOutput is the last line that a process wrote to its log.
+func (s *Supervisor) lastOutput(i int, p *process) string {
+	line, err := lastLine(s.logPath(i), p.logOffset)
+	if err != nil {
+		s.log.Debug("log not readable", "instance", s.specs[i].Name, "error", err)
+	}
+	return line
+}
+
+// closeHandle closes a process's pidfd.
+func (s *Supervisor) closeHandle(p *process) {
+	if err := p.close(); err != nil {
+		s.log.Warn("pidfd not closed", "pid", p.pid, "error", err)
+	}
+}
+
+// reload writes an instance's configuration and signals its process to load it. A
+// goroutine waits for the result, for the time that a start may take at most.
+func (s *Supervisor) reload(ctx context.Context, action lifecycle.Action) {
+	_, spec := s.programAndSpec(action)
+	proc := s.processes[action.Instance][action.Process]
+	if proc == nil {
+		return
+	}
+	if spec.Config != "" {
+		if err := disk.Replace(s.configPath(action.Instance), []byte(spec.Config), false); err != nil {
+			s.events.Info("configuration not written for a reload", "instance", spec.Name, "error", err)
+		}
+	}
+	s.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, s.file.Start.ReadyTimeout)
+		defer cancel()
+		s.awaitReload(ctx, action, spec, proc)
+	})
+}
+
+// awaitReload signals a process and reports the outcome. Without one by the end of
+// ctx the lifecycle's own deadline ends the wait.
+func (s *Supervisor) awaitReload(ctx context.Context, action lifecycle.Action, spec Spec, proc *process) {
+	before := checkHealth(ctx, spec.Listen)
+	if err := proc.signal(syscall.SIGHUP); err != nil {
+		s.log.Warn("signal not sent", "instance", spec.Name, "pid", proc.pid, "signal", syscall.SIGHUP, "error", err)
+	}
+	var after healthStatus
+	reloaded := func(status healthStatus) bool {
+		after = status
+		return status.pid == proc.pid && status.reloads() > before.reloads()
+	}
+	if !waitUntilHealthy(ctx, spec.Listen, reloaded) {
+		return
+	}
+	s.enqueue(ctx, func(now time.Duration) []lifecycle.Action {
+		if after.reloadsFailed > before.reloadsFailed {
+			return s.lifecycle.ReloadFailed(now, action.Instance, action.Process)
+		}
+		return s.lifecycle.ProcessReady(now, action.Instance, action.Process)
+	})
+}
+
+// signal signals the process of an action, if it has not ended.
+func (s *Supervisor) signal(action lifecycle.Action, signal syscall.Signal) {
+	p := s.processes[action.Instance][action.Process]
+	if p == nil {
+		return
+	}
+	inject.At("fleet-ends")
+	defer inject.At("fleet-ended")
+	if err := p.signal(signal); err != nil {
+		s.events.Info("signal not sent", "instance", s.specs[action.Instance].Name, "pid", p.pid, "signal", signal, "error", err)
+	}
+}
--- /dev/null
+++ b/internal/fleet/supervisor/commands.go
@@ -0,0 +1,163 @@
+package supervisor
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/lifecycle"
+	"otterspring/internal/fleet/rollout"
+	"otterspring/internal/inject"
+)
+
+// A host as the receiver of leaders' commands. Each is checked against the fence and
+// begun in one step of the event loop: a leader that has a response knows of all that
+// an earlier leader has begun on this host.
+
+const maxCommandBytes = 2 << 20
+
+var (
+	errInstanceNotUp  = errors.New("the instance is not up")
+	errUnknownCommand = errors.New("unknown command")
+)
+
+// commandHandler serves commands of leaders over HTTP.
+type commandHandler struct {
+	supervisor *Supervisor
+	done       <-chan struct{} // closed when the event loop has ended
+}
+
+// ServeHTTP implements http.Handler.
+func (h *commandHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.Method != http.MethodPost || r.URL.Path != hostCommandPath {
+		http.NotFound(w, r)
+		return
+	}
+	var command hostCommand
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(&command); err != nil {
+		http.Error(w, "malformed command: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	supervisor := h.supervisor
+	result := make(chan hostResponse, 1)
+	supervisor.enqueue(r.Context(), func(now time.Duration) []lifecycle.Action {
+		response, actions := supervisor.runHostCommand(now, command)
+		result <- response
+		return actions
+	})
+	select {
+	case response := <-result:
+		if err := json.NewEncoder(w).Encode(response); err != nil {
+			supervisor.log.Debug("response to a leader not sent", "holder", command.Holder, "error", err)
+		}
+	case <-r.Context().Done():
+	case <-h.done:
+	}
+}
+
+// runHostCommand checks a command against the fence and runs it.
+func (s *Supervisor) runHostCommand(now time.Duration, command hostCommand) (hostResponse, []lifecycle.Action) {
+	before := s.fence.Newest(command.Lease)
+	if err := s.fence.Check(command.Lease, council.Tenant{Owner: command.Holder, Epoch: command.Token}); err != nil {
+		s.events.Info("command rejected by the fence", "command", command.Kind, "token", command.Token, "holder", command.Holder, "error", err)
+		return s.rejection(err), nil
+	}
+	s.reportLeaseHolder(command.Lease, before)
+	switch command.Kind {
+	case commandReport:
+		return s.hostResponse(), nil
+	case commandList:
+		version, err := s.receiveEndpointList(command)
+		if err != nil {
+			return s.reject(command, err), nil
+		}
+		return hostResponse{ListVersion: version, StaleCommands: s.fence.Refused}, nil
+	case commandRestart, commandReload:
+		actions, err := s.runInstanceCommand(now, command)
+		if err != nil {
+			return s.reject(command, err), nil
+		}
+		return s.hostResponse(), actions
+	}
+	return s.reject(command, fmt.Errorf("%w %q, expected look, restart, reload or list", errUnknownCommand, command.Kind)), nil
+}
+
+// hostResponse is the response to a command that was accepted.
+func (s *Supervisor) hostResponse() hostResponse {
+	return hostResponse{Host: s.hostStatus(), StaleCommands: s.fence.Refused}
+}
+
+// rejection is the response to a command that was not run.
+func (s *Supervisor) rejection(err error) hostResponse {
+	return hostResponse{Rejected: err.Error(), StaleCommands: s.fence.Refused}
+}
+
+// reject logs why a command that has passed the fence was not run, and returns the
+// response to it.
+func (s *Supervisor) reject(command hostCommand, err error) hostResponse {
+	s.events.Info("command rejected", "command", command.Kind, "token", command.Token, "holder", command.Holder, "error", err)
+	return s.rejection(err)
+}
+
+// runInstanceCommand begins a restart or a reload of one instance for an operation.
+// The leader repeats a command whose response it has not got: one that was done or
+// is in progress is accepted and not begun again.
+func (s *Supervisor) runInstanceCommand(now time.Duration, command hostCommand) ([]lifecycle.Action, error) {
+	i, err := s.instanceByName(command.Instance)
+	if err != nil {
+		return nil, err
+	}
+	if s.operations[i] == command.Operation || s.inProgress(i, command.Operation) {
+		return nil, nil
+	}
+	if !s.isUp(i) {
+		phase, _ := s.lifecycle.Phase(i)
+		return nil, fmt.Errorf("%s: %w: found it %v", command.Instance, errInstanceNotUp, phase)
+	}
+	change := rollingChange{reload: command.Kind == commandReload, instances: []string{command.Instance}}
+	if !change.reload {
+		change.program = command.Program
+	}
+	actions, err := s.startRollingChange(now, change)
+	if err != nil {
+		return nil, err
+	}
+	s.update.operation, s.update.instance = command.Operation, i
+	s.events.Info("command accepted", "command", command.Kind, "instance", command.Instance, "operation", command.Operation,
+		"holder", command.Holder, "token", command.Token)
+	inject.At("fleet-takes-order")
+	return actions, nil
+}
+
+// inProgress reports whether an instance is in its rolling change for an operation.
+func (s *Supervisor) inProgress(i int, operation string) bool {
+	return s.update != nil && s.update.operation == operation && s.update.instance == i && s.lifecycle.UpdateInProgress()
+}
+
+// reportLeaseHolder logs that a newer holder of a lease than before is known, from
+// the cluster or by its command: from here on commands of older ones are rejected.
+func (s *Supervisor) reportLeaseHolder(lease string, before council.Tenant) {
+	if lease != RolloutLease && (s.endpoints == nil || lease != s.endpoints.lease) {
+		return // no command under it comes here
+	}
+	if newest := s.fence.Newest(lease); newest.Epoch > before.Epoch && newest.Owner != "" {
+		s.events.Info("lease holder changed", "lease", lease, "holder", newest.Owner, "token", newest.Epoch)
+	}
+}
+
+// hostStatus is this host as the leader of a rollout needs it.
+func (s *Supervisor) hostStatus() rollout.HostStatus {
+	status := rollout.HostStatus{Name: s.file.Coordination.Host, Zone: s.file.Coordination.Zone, Program: s.program}
+	if s.lifecycle.UpdateInProgress() {
+		status.LocalUpdate = s.lifecycle.UpdateStatus()
+	}
+	for i, spec := range s.specs {
+		status.Instances = append(status.Instances, rollout.InstanceStatus{
+			Name: spec.Name, Ready: s.isUp(i), RolloutID: s.operations[i], FailedRolloutID: s.failedOperations[i],
+		})
+	}
+	return status
+}
--- /dev/null
+++ b/internal/fleet/supervisor/coordination.go
@@ -0,0 +1,235 @@
+package supervisor
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"time"
+
+	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/lifecycle"
+)
+
+// A host's part in its coordination cluster: it follows who holds which lease, so
+// that its fence knows the newest fencing tokens, and requests a lease that nobody
+// holds. While the cluster does not respond the supervisor works without it.
+
+const (
+	// followWait is how long the cluster may hold a request for changes of leases. A
+	// link that is cut in both directions is noticed after twice this at the latest.
+	followWait = 2 * time.Second
+	// requestTimeout bounds one request to the cluster and one command to a host.
+	requestTimeout = 3 * time.Second
+	// leaveTimeout bounds the last request, when the supervisor ends.
+	leaveTimeout = time.Second
+
+	coordinationRetryInterval = 500 * time.Millisecond
+	vacantLeaseInterval       = 250 * time.Millisecond // between requests for a lease that nobody holds
+
+	maxLeaderConnections  = 64
+	maxRequestHeaderBytes = 4 << 10
+	maxIdleConnectionTime = time.Minute
+)
+
+// rejectedError is a request that the coordination cluster has rejected.
+type rejectedError string
+
+// Error implements error.
+func (e rejectedError) Error() string { return "rejected by the coordination cluster: " + string(e) }
+
+// joinCoordination begins to listen to leaders and to follow the coordination
+// cluster, if the host has one, until ctx ends.
+func (s *Supervisor) joinCoordination(ctx context.Context) error {
+	settings := s.file.Coordination
+	if settings.Name == "" {
+		return nil
+	}
+	listener, err := net.Listen("tcp", settings.Listen)
+	if err != nil {
+		return fmt.Errorf("council.listen: %w", err)
+	}
+	s.client = ask.NewClient(settings.Name, settings.Members)
+	server := &http.Server{
+		Handler:        &commandHandler{supervisor: s, done: ctx.Done()},
+		ReadTimeout:    requestTimeout,
+		WriteTimeout:   requestTimeout + time.Second,
+		IdleTimeout:    maxIdleConnectionTime,
+		MaxHeaderBytes: maxRequestHeaderBytes,
+	}
+	s.serve(ctx, server, ask.Bounded(listener, maxLeaderConnections))
+	s.goroutines.Go(func() { <-ctx.Done(); s.client.Close() })
+	if err := s.startEndpointProxy(ctx); err != nil {
+		return err
+	}
+	s.goroutines.Go(func() { s.followLeases(ctx) })
+	return nil
+}
+
+// serve serves HTTP, by two goroutines, until ctx ends.
+func (s *Supervisor) serve(ctx context.Context, server *http.Server, listener net.Listener) {
+	s.goroutines.Go(func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			s.log.Error("HTTP server ended", "address", listener.Addr(), "error", err)
+		}
+	})
+	s.goroutines.Go(func() { <-ctx.Done(); server.Close() })
+}
+
+// leaseFollower follows the leases until the supervisor ends. It belongs to one
+// goroutine.
+type leaseFollower struct {
+	supervisor *Supervisor
+	holder     string // this process, as a holder of leases
+	// synchronized is set when a majority has named the leases that there are and stored this
+	// host's record. From then on any member's view is enough.
+	synchronized bool
+	index        uint64 // of the last view; 0 for any
+}
+
+func (s *Supervisor) followLeases(ctx context.Context) {
+	follower := &leaseFollower{
+		supervisor: s,
+		holder:     fmt.Sprintf("%s.%04x", s.file.Coordination.Host, rand.Uint32()&0xffff),
+	}
+	for ctx.Err() == nil {
+		follower.poll(ctx)
+	}
+}
+
+// poll waits for one view of the leases, and requests those that are vacant.
+func (f *leaseFollower) poll(ctx context.Context) {
+	supervisor := f.supervisor
+	request := ask.Question{Kind: ask.State}
+	if f.synchronized {
+		request = ask.Question{Kind: ask.Hear, WaitMS: int(followWait.Milliseconds()), Seen: f.index}
+	}
+	response, err := supervisor.request(ctx, request, followWait+requestTimeout)
+	if err != nil {
+		supervisor.log.Warn("coordination cluster does not respond; supervising without it", "cluster", supervisor.file.Coordination.Name, "error", err)
+		sleep(ctx, coordinationRetryInterval)
+		return
+	}
+	supervisor.observeLeases(ctx, response.Duties, !f.synchronized)
+	if !f.synchronized {
+		f.synchronized = supervisor.publishHostRecord(ctx)
+		return
+	}
+	f.index = response.Index
+	if f.requestVacantLeases(ctx, response) {
+		sleep(ctx, vacantLeaseInterval) // until somebody has it, or it is to be requested again
+		f.index = 0
+	}
+}
+
+// observeLeases hands a view of the leases to the fence. initial means that a
+// majority has it: a lease that it does not name has no holder, and any is newer.
+func (s *Supervisor) observeLeases(ctx context.Context, leases map[string]council.Tenant, initial bool) {
+	s.enqueue(ctx, func(time.Duration) []lifecycle.Action {
+		for lease, holder := range leases {
+			before := s.fence.Newest(lease)
+			s.fence.Hear(lease, holder)
+			s.reportLeaseHolder(lease, before)
+		}
+		if initial {
+			s.fence.Hear(RolloutLease, council.Tenant{})
+			if s.endpoints != nil {
+				s.fence.Hear(s.endpoints.lease, council.Tenant{})
+			}
+		}
+		return nil
+	})
+}
+
+// requestVacantLeases requests the leases that this host could use and nobody holds.
+// It reports whether there are any.
+func (f *leaseFollower) requestVacantLeases(ctx context.Context, response *ask.Answer) bool {
+	supervisor, vacant := f.supervisor, false
+	if supervisor.endpoints != nil && response.Duties[supervisor.endpoints.lease].Owner == "" {
+		vacant = true
+		supervisor.endpoints.lead(ctx, f.holder)
+	}
+	if response.Open[RolloutLease] && response.Duties[RolloutLease].Owner == "" {
+		vacant = true
+		if supervisor.leadsRollout.CompareAndSwap(false, true) {
+			supervisor.goroutines.Go(func() {
+				defer supervisor.leadsRollout.Store(false)
+				supervisor.leadRollout(ctx, f.holder)
+			})
+		}
+	}
+	return vacant
+}
+
+// request sends a request to the coordination cluster.
+func (s *Supervisor) request(ctx context.Context, request ask.Question, timeout time.Duration) (*ask.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return s.client.Do(ctx, request)
+}
+
+// requestAccepted sends a request that the cluster may reject, which is a
+// rejectedError.
+func (s *Supervisor) requestAccepted(ctx context.Context, request ask.Question) error {
+	response, err := s.request(ctx, request, requestTimeout)
+	if err == nil && response.Refused != "" {
+		return rejectedError(response.Refused)
+	}
+	return err
+}
+
+// publishHostRecord stores this host's record at the coordination cluster.
+func (s *Supervisor) publishHostRecord(ctx context.Context) bool {
+	settings := s.file.Coordination
+	text, err := json.Marshal(hostRecord{settings.Zone, settings.Listen, len(s.specs), s.file.Program})
+	if err == nil {
+		err = s.requestAccepted(ctx, ask.Question{Kind: council.Facts, Who: settings.Host, Data: text})
+	}
+	if err != nil {
+		s.log.Warn("host record not stored", "host", settings.Host, "error", err)
+		sleep(ctx, coordinationRetryInterval)
+	}
+	return err == nil
+}
+
+// decodeHostRecords reads the records of hosts. One that is malformed is logged and
+// empty, so that its host counts as one that can't be contacted.
+func (s *Supervisor) decodeHostRecords(texts map[string]json.RawMessage) map[string]hostRecord {
+	records := make(map[string]hostRecord, len(texts))
+	for host, text := range texts {
+		var record hostRecord
+		if err := json.Unmarshal(text, &record); err != nil {
+			s.log.Warn("malformed host record", "host", host, "error", err)
+			record = hostRecord{}
+		}
+		records[host] = record
+	}
+	return records
+}
+
+// leaveCoordination removes this host's record: it has no instances any more.
+func (s *Supervisor) leaveCoordination(ctx context.Context) {
+	if s.client == nil {
+		return
+	}
+	settings := s.file.Coordination
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	defer cancel()
+	client := ask.NewClient(settings.Name, settings.Members)
+	defer client.Close()
+	if _, err := client.Do(ctx, ask.Question{Kind: council.Facts, Who: settings.Host}); err != nil {
+		s.log.Warn("host record not removed; use otterspring council forget", "host", settings.Host, "error", err)
+	}
+}
+
+// sleep waits for d or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
--- /dev/null
+++ b/internal/fleet/supervisor/endpoints.go
@@ -0,0 +1,250 @@
+package supervisor
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"otterspring/internal/bootclock"
+	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/endpointlist"
+	"otterspring/internal/inject"
+)
+
+// The supervisor's part in relaying discovery's endpoint list. The holder of a zone's
+// lease watches discovery and sends updates and heartbeats to the supervisors of the
+// zone; each of them serves its host's sidecars from its cache. Package endpointlist
+// holds the decisions.
+
+const (
+	// watchTimeout is how long a watch of discovery waits for a change. It is short: a
+	// watch whose connection has died is noticed at its end, what it missed counts as
+	// delivered 6 s later, and few hosts watch.
+	watchTimeout = 2 * time.Second
+	// firstWatchTimeout is that of the first watch, which only has to confirm the cached
+	// version: until then a host has nothing recent to serve.
+	firstWatchTimeout = time.Millisecond
+	responseTimeout   = time.Second // beyond the watch's own
+	snapshotTimeout   = 4 * time.Second
+	maxListBytes      = 1 << 20
+
+	watchRetryBase     = 100 * time.Millisecond
+	maxWatchRetryShift = 4
+
+	endpointPollInterval = 20 * time.Millisecond // between two looks at what is due
+
+	maxIdleDiscoveryConnection = 30 * time.Second
+	maxProxyConnections        = 2 * MaxInstances
+	proxyHeaderTimeout         = 5 * time.Second
+)
+
+var (
+	errListNotExpected = errors.New("found an endpoint list that is not expected here")
+	errVersionWentBack = errors.New("discovery's version went back, which is not relayed")
+	errListResponse    = errors.New("unexpected response of discovery")
+)
+
+var discoveryClient = http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: maxIdleDiscoveryConnection}}
+
+// endpointProxy is a host's cache of the endpoint list with its watch of discovery.
+// As an http.Handler it is the local proxy of discovery for the host's sidecars.
+type endpointProxy struct {
+	supervisor *Supervisor
+	lease      string
+	settings   EndpointListSettings
+
+	leads atomic.Bool // a goroutine requests the lease or has it
+
+	mu           sync.Mutex // guards the fields below
+	cache        *endpointlist.Cache
+	watcher      *endpointlist.Watcher
+	changed      chan struct{} // closed and replaced with each newer version
+	failingSince time.Duration // requests to discovery; 0 if the last one succeeded
+	backoffUntil time.Duration // until when the lease is left to other hosts
+}
+
+// startEndpointProxy starts a host's part in the relaying, where its file asks for
+// it, until ctx ends.
+func (s *Supervisor) startEndpointProxy(ctx context.Context) error {
+	settings := s.file.EndpointList
+	if settings.Discovery == "" {
+		return nil
+	}
+	listener, err := net.Listen("tcp", settings.Listen)
+	if err != nil {
+		return fmt.Errorf("list.listen: %w", err)
+	}
+	limits := endpointlist.Settings{
+		HeartbeatTimeout: settings.HeartbeatTimeout, Jitter: settings.Jitter, StalenessLimit: settings.StalenessLimit,
+	}
+	proxy := &endpointProxy{
+		supervisor: s,
+		lease:      endpointListLease(s.file.Coordination.Zone),
+		settings:   settings,
+		cache:      endpointlist.NewCache(settings.Source),
+		watcher:    endpointlist.NewWatcher(limits, s.file.Coordination.Host, bootclock.Now()),
+		changed:    make(chan struct{}),
+	}
+	s.endpoints = proxy
+	server := &http.Server{
+		Handler:           proxy,
+		ReadHeaderTimeout: proxyHeaderTimeout,
+		IdleTimeout:       maxIdleConnectionTime,
+		MaxHeaderBytes:    maxRequestHeaderBytes,
+	}
+	s.serve(ctx, server, ask.Bounded(listener, maxProxyConnections))
+	s.goroutines.Go(func() { proxy.watchDiscovery(ctx) })
+	return nil
+}
+
+// watchDiscovery watches discovery whenever the watcher decides so, until ctx ends.
+func (p *endpointProxy) watchDiscovery(ctx context.Context) {
+	log := p.supervisor.log
+	failures, timeout := 0, firstWatchTimeout
+	for ctx.Err() == nil {
+		p.mu.Lock()
+		watch, since, fallback := p.watcher.ShouldWatch(bootclock.Now()), p.cache.Version, p.watcher.Fallback()
+		p.mu.Unlock()
+		if !watch {
+			failures, timeout = 0, firstWatchTimeout
+			sleep(ctx, endpointPollInterval)
+			continue
+		}
+		if fallback {
+			log.Info("heartbeat timeout of the lease holder; watching discovery from this host", "lease", p.lease)
+		}
+		err := p.fetch(ctx, since, timeout)
+		p.recordResponse(err)
+		if err == nil {
+			failures, timeout = 0, watchTimeout
+			continue
+		}
+		log.Warn("watch of discovery failed", "address", p.settings.Discovery, "error", err)
+		failures = min(failures+1, maxWatchRetryShift)
+		mean := watchRetryBase << failures
+		sleep(ctx, mean/2+time.Duration(rand.Int64N(int64(mean))))
+	}
+}
+
+// recordResponse records whether a request to discovery succeeded.
+func (p *endpointProxy) recordResponse(err error) {
+	now := bootclock.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch {
+	case err == nil:
+		p.watcher.Answered(now)
+		p.failingSince = 0
+	case p.failingSince == 0:
+		p.failingSince = now
+	}
+}
+
+// fetch sends one request to discovery and applies the response: a watch for changes
+// since a version, or a request for a snapshot where that is 0.
+func (p *endpointProxy) fetch(ctx context.Context, since int64, wait time.Duration) error {
+	url, timeout := "http://"+p.settings.Discovery+endpointListPath, snapshotTimeout
+	if since > 0 {
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", since, wait.Milliseconds())
+		timeout = wait + responseTimeout
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	if err := inject.Way(ctx, p.settings.Discovery); err != nil {
+		return err
+	}
+	text, err := get(ctx, url)
+	if err != nil {
+		return err
+	}
+	update, err := endpointlist.Decode(text, p.settings.Source, since)
+	if err != nil {
+		return err
+	}
+	if update.Version < since {
+		return fmt.Errorf("%w: found version %d, expected %d or later", errVersionWentBack, update.Version, since)
+	}
+	return p.apply(update, "discovery")
+}
+
+// get returns the body of a response of discovery, of maxListBytes at most.
+func get(ctx context.Context, url string) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := discoveryClient.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK || len(text) > maxListBytes {
+		return nil, fmt.Errorf("%w: found status %d and %d bytes, expected status 200 and %d bytes at most", errListResponse, response.StatusCode, len(text), maxListBytes)
+	}
+	return text, nil
+}
+
+// apply applies an update and wakes the requests that wait for a newer version.
+func (p *endpointProxy) apply(update endpointlist.Update, sender string) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	newer, err := p.cache.Apply(update)
+	if newer {
+		close(p.changed)
+		p.changed = make(chan struct{})
+		p.supervisor.log.Debug("endpoint list updated", "lease", p.lease, "version", p.cache.Version, "sender", sender)
+	}
+	return err
+}
+
+// receiveEndpointList applies an update of the lease holder that the fence has
+// accepted, and returns the version that is cached now. It belongs to the event loop.
+func (s *Supervisor) receiveEndpointList(command hostCommand) (int64, error) {
+	proxy, push := s.endpoints, command.List
+	if proxy == nil || push == nil || command.Lease != proxy.lease {
+		return 0, errListNotExpected
+	}
+	update, err := endpointlist.Decode(push.Text, push.Source, push.From)
+	if err != nil {
+		return 0, err
+	}
+	version, changed, err := proxy.receive(update, command)
+	if err != nil {
+		return 0, err // of another discovery: this host's heartbeat timeout runs on
+	}
+	if changed {
+		s.events.Info("endpoint list applied", "version", version, "holder", command.Holder, "token", command.Token)
+		inject.At("list-taken")
+	}
+	return version, nil
+}
+
+// receive applies an update of the lease holder, which counts as its heartbeat. It
+// returns the cached version and whether that has changed. An update that starts
+// beyond the cached version is no error: the version tells the holder.
+func (p *endpointProxy) receive(update endpointlist.Update, command hostCommand) (version int64, changed bool, err error) {
+	p.mu.Lock()
+	before := p.cache.Version
+	p.mu.Unlock()
+	err = p.apply(update, command.Holder)
+	if err != nil && !errors.Is(err, endpointlist.ErrGap) {
+		return 0, false, err
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if command.List.LeaderFresh && err == nil {
+		p.watcher.Heartbeat(bootclock.Now())
+	}
+	return p.cache.Version, p.cache.Version != before, nil
+}
--- /dev/null
+++ b/internal/fleet/supervisor/endpoints_leader.go
@@ -0,0 +1,193 @@
+package supervisor
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"otterspring/internal/bootclock"
+	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/endpointlist"
+	"otterspring/internal/inject"
+)
+
+const (
+	listHeartbeatInterval = 500 * time.Millisecond
+	maxListPushes         = 32 // in flight at a time
+	hostRefreshInterval   = time.Second
+
+	// discoveryFailureLimit is for how long the requests of a lease holder to discovery
+	// may fail until it releases the lease, and leadershipBackoff for how long it then
+	// leaves the lease to other hosts.
+	discoveryFailureLimit = 3 * time.Second
+	leadershipBackoff     = 10 * time.Second
+)
+
+// lead requests the lease, which nobody holds, and relays the list if it gets it.
+// It does nothing while this host backs off or requests it already.
+func (p *endpointProxy) lead(ctx context.Context, holder string) {
+	p.mu.Lock()
+	backsOff := bootclock.Now() < p.backoffUntil
+	p.mu.Unlock()
+	if backsOff || !p.leads.CompareAndSwap(false, true) {
+		return
+	}
+	s := p.supervisor
+	s.goroutines.Go(func() {
+		defer p.leads.Store(false)
+		s.lead(ctx, p.lease, holder, func(ctx context.Context, l *leadership) stopReason {
+			leader := newEndpointLeader(p, l)
+			return leader.run(ctx)
+		})
+	})
+}
+
+// shouldBackOff reports whether requests to discovery have failed for so long that
+// the lease is better left to other hosts, and begins the backoff.
+func (p *endpointProxy) shouldBackOff() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := bootclock.Now()
+	if p.failingSince == 0 || now <= p.failingSince+discoveryFailureLimit {
+		return false
+	}
+	p.backoffUntil = now + leadershipBackoff
+	return true
+}
+
+func (p *endpointProxy) setLeader(leader bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.watcher.SetLeader(leader, bootclock.Now())
+}
+
+// acknowledgement is a host's response to a push.
+type acknowledgement struct {
+	host    string
+	version int64 // endpointlist.UnknownVersion without one
+}
+
+// endpointLeader sends updates and heartbeats to the zone's hosts during one
+// leadership. Its goroutine owns the addresses; the others that it starts end before
+// run returns and reach it by the channels.
+type endpointLeader struct {
+	*leadership
+	proxy            *endpointProxy
+	publisher        *endpointlist.Publisher
+	addresses        map[string]string      // by host, of former hosts, too
+	hosts            chan map[string]string // addresses of the zone's hosts
+	acknowledgements chan acknowledgement   // buffers all pushes in flight
+}
+
+func newEndpointLeader(p *endpointProxy, l *leadership) *endpointLeader {
+	return &endpointLeader{
+		leadership:       l,
+		proxy:            p,
+		publisher:        endpointlist.NewPublisher(listHeartbeatInterval, maxListPushes),
+		addresses:        map[string]string{},
+		hosts:            make(chan map[string]string, 1),
+		acknowledgements: make(chan acknowledgement, maxListPushes),
+	}
+}
+
+// run relays the list until the leadership ends or discovery does not respond to
+// this host.
+func (l *endpointLeader) run(ctx context.Context) stopReason {
+	l.proxy.setLeader(true)
+	defer l.proxy.setLeader(false)
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
+	// This may end before the leadership does: what watches the hosts ends with it.
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	goroutines.Go(func() { l.watchHosts(ctx) })
+	for {
+		l.proxy.mu.Lock()
+		changed, version := l.proxy.changed, l.proxy.cache.Version
+		l.proxy.mu.Unlock()
+		switch {
+		case ctx.Err() != nil || !l.valid():
+			return reasonLeaseExpired
+		case l.proxy.shouldBackOff():
+			return reasonDiscoveryFailed
+		}
+		l.pushDue(ctx, &goroutines, version)
+		select {
+		case a := <-l.acknowledgements:
+			l.publisher.Acknowledged(a.host, a.version, bootclock.Now())
+		case addresses := <-l.hosts:
+			maps.Copy(l.addresses, addresses)
+			l.publisher.SetHosts(slices.Collect(maps.Keys(addresses)))
+		case <-changed:
+		case <-time.After(endpointPollInterval):
+		case <-ctx.Done():
+		}
+	}
+}
+
+// pushDue begins to send to the hosts that are due an update or a heartbeat, once
+// there is a list.
+func (l *endpointLeader) pushDue(ctx context.Context, goroutines *sync.WaitGroup, version int64) {
+	if version == 0 {
+		return
+	}
+	for host, since := range l.publisher.Due(bootclock.Now(), version) {
+		address := l.addresses[host]
+		goroutines.Go(func() { l.acknowledgements <- acknowledgement{host, l.push(ctx, address, since)} })
+	}
+}
+
+// push sends a host what it lacks. It returns the version that the host has then, or
+// endpointlist.UnknownVersion.
+func (l *endpointLeader) push(ctx context.Context, address string, since int64) int64 {
+	message := l.proxy.pushSince(since)
+	// A process that is suspended here for longer than its lease sends a stale command: fence and version are there for it.
+	inject.At("list-tells")
+	response, err := l.send(ctx, address, hostCommand{Kind: commandList, List: message})
+	log := l.supervisor.log
+	switch {
+	case err != nil:
+		log.Debug("endpoint list not sent", "address", address, "error", err)
+		return endpointlist.UnknownVersion
+	case response.Rejected != "":
+		log.Warn("endpoint list rejected by its host", "address", address, "error", response.Rejected)
+		return endpointlist.UnknownVersion
+	}
+	return response.ListVersion
+}
+
+// pushSince is what a host at a version lacks. A host with a newer version than this
+// one's is sent a heartbeat only.
+func (p *endpointProxy) pushSince(since int64) *listPush {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update := p.cache.Since(min(since, p.cache.Version))
+	return &listPush{
+		Source:      update.Source,
+		From:        update.From,
+		Text:        update.Encode(),
+		LeaderFresh: p.watcher.Fresh(bootclock.Now()),
+	}
+}
+
+// watchHosts asks the coordination cluster which hosts the zone has, until ctx ends.
+func (l *endpointLeader) watchHosts(ctx context.Context) {
+	for ; ctx.Err() == nil; sleep(ctx, hostRefreshInterval) {
+		response, err := l.supervisor.request(ctx, ask.Question{Kind: ask.State}, requestTimeout)
+		if err != nil || response.State == nil {
+			continue
+		}
+		addresses := map[string]string{}
+		for host, record := range l.supervisor.decodeHostRecords(response.State.Facts) {
+			if endpointListLease(record.Zone) == l.lease && record.Address != "" {
+				addresses[host] = record.Address
+			}
+		}
+		select {
+		case l.hosts <- addresses:
+		case <-ctx.Done():
+		}
+	}
+}
--- a/internal/fleet/supervisor/process.go
+++ b/internal/fleet/supervisor/process.go
@@ -1,88 +1,106 @@
 package supervisor
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"os/exec"
 	"strconv"
 	"strings"
 	"syscall"
-	"time"
 
 	"golang.org/x/sys/unix"
 
 	"otterspring/internal/disk"
 )
 
-// process is a process of an instance, a child or one that was adopted.
+const (
+	// fleetVariable names the environment variable that labels a fleet's processes with
+	// its directory. A process has it from its first instruction on. Between fork and
+	// exec, where it has not, the child still holds the directory's lock, so that no
+	// other supervisor is there to look for it.
+	fleetVariable = "OTTERSPRING_FLEET"
+	// operationVariable names the environment variable with the operation that a process
+	// was last started for, so that it is known where the state file is not.
+	operationVariable = "OTTERSPRING_ORDER"
+
+	maxEnvironmentBytes = 1 << 20 // read of a process's environment
+	maxLogBytes         = 1 << 20 // a larger log is set aside at a start
+	maxLastLineRead     = 2048    // bytes of a log that are read for its last line
+	maxLastLineBytes    = 200     // of that line, in an event
+)
+
+// process is a process of an instance: a child, or an adopted one. It belongs to the
+// goroutine of Run; pid, startTime and pidfd do not change once it is made, and the
+// goroutines that watch it read those.
 type process struct {
-	id        int // the plan's number
+	id        int // the lifecycle's number
 	pid       int
-	startTime string // its start time as the kernel has it, against reuse of the pid
-	pidfd     int    // pidfd
+	startTime string // in the kernel's ticks since boot; tells it from a later process of its pid
+	pidfd     int
 	logOffset int64  // size of the log when it started
-	// operation is the council's that it was started for, program what it was started of.
-	operation, program string
+	operation string // that it was last started or reloaded for
+	program   string // the executable it was started from
 }
 
-// signal sends a signal to just this process, even if its number were used anew.
+// signal signals this process and no other that has its pid later. A process that
+// has ended is no error.
 func (p *process) signal(s syscall.Signal) error {
 	err := unix.PidfdSendSignal(p.pidfd, s, nil, 0)
 	if errors.Is(err, unix.ESRCH) {
-		return nil // it has ended
+		return nil
 	}
 	return err
 }
 
-// startTime reads when a process started, in the kernel's ticks; empty if there
-// is no such process, or only what is left of it.
+// waitForExit returns when the process, which need not be a child, has ended.
+func (p *process) waitForExit() {
+	for {
+		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.pidfd), Events: unix.POLLIN}}, -1)
+		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
+			return
+		}
+	}
+}
+
+// close closes the pidfd.
+func (p *process) close() error { return unix.Close(p.pidfd) }
+
+// startTime reads when a process started, in the kernel's ticks since boot; empty if
+// there is none, or a zombie.
 func startTime(pid int) string {
+	const stateField, startField = 0, 19 // behind the name in parentheses, see proc(5)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
 	}
-	at := strings.LastIndexByte(string(text), ')')
-	f := strings.Fields(string(text)[at+1:])
-	if at < 0 || len(f) < 20 || f[0] == "Z" || f[0] == "X" {
+	nameEnd := strings.LastIndexByte(string(text), ')')
+	fields := strings.Fields(string(text)[nameEnd+1:])
+	if nameEnd < 0 || len(fields) <= startField || fields[stateField] == "Z" || fields[stateField] == "X" {
 		return ""
 	}
-	return f[19]
+	return fields[startField]
 }
 
-// fleetVariable names the variable by which a fleet's processes are known: its value is
-// the fleet's directory. A process has it from its first instruction on. Between
-// fork and exec, where it has not, the child still holds the lock of the directory,
-// so that no other supervisor is there to look for it.
-const fleetVariable = "OTTERSPRING_FLEET"
-
-// operationVariable names the variable that says for which order of the council a process
-// was started last: what was done for an order stands at the processes themselves.
-const operationVariable = "OTTERSPRING_ORDER"
-
-// maxEnvironmentBytes bounds what is read of a process's environment, in bytes.
-const maxEnvironmentBytes = 1 << 20
-
-// labeledProcesses finds the processes that a supervisor of this directory started, whether
-// it lived to write that down or not. What they start themselves inherits the mark,
-// but leads no process group.
-func labeledProcesses(directory string) (list []savedProcess) {
-	dirs, err := os.ReadDir("/proc")
+// labeledProcesses finds the processes that a supervisor of this directory started,
+// whether it saved that or not. What they start themselves inherits the label, but
+// leads no process group.
+func labeledProcesses(directory string) []savedProcess {
+	entries, err := os.ReadDir("/proc")
 	if err != nil {
 		return nil
 	}
-	for _, d := range dirs {
-		pid, err := strconv.Atoi(d.Name())
+	var list []savedProcess
+	for _, entry := range entries {
+		pid, err := strconv.Atoi(entry.Name())
 		if err != nil {
 			continue
 		}
 		if group, err := unix.Getpgid(pid); err != nil || group != pid {
 			continue
 		}
-		start := startTime(pid) // before the rest is read: adopt compares it
+		start := startTime(pid) // before the environment is read: adopt compares it
 		env := environment(pid)
 		if start != "" && env[fleetVariable] == directory {
 			list = append(list, savedProcess{Name: env["RELAY_NAME"], Listen: env["RELAY_LISTEN"], PID: pid, StartTime: start})
@@ -91,160 +109,105 @@
 	return list
 }
 
-// environment reads the environment that a process was started with; empty where that
-// can't be seen.
+// environment reads the environment that a process was started with; empty where
+// that is not readable, as after its end.
 func environment(pid int) map[string]string {
-	f, err := os.Open(fmt.Sprintf("/proc/%d/environ", pid))
-	if err != nil {
-		return nil
-	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxEnvironmentBytes))
+	text, err := readAtMost(fmt.Sprintf("/proc/%d/environ", pid), maxEnvironmentBytes)
 	if err != nil {
 		return nil
 	}
 	env := map[string]string{}
-	for _, word := range strings.Split(string(text), "\x00") {
-		if key, value, ok := strings.Cut(word, "="); ok {
+	for entry := range strings.SplitSeq(string(text), "\x00") {
+		if key, value, ok := strings.Cut(entry, "="); ok {
 			env[key] = value
 		}
 	}
 	return env
 }
 
-// maxLogBytes is the size from which on a log is put aside at a start.
-const maxLogBytes = 1 << 20
+// readAtMost reads the first bytes of a file.
+func readAtMost(path string, limit int64) (text []byte, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	return io.ReadAll(io.LimitReader(file, limit))
+}
 
-// spawn starts a child. Its output goes to a file, so that it lives on without
-// the supervisor.
-func spawn(program string, args, env []string, logPath string) (*exec.Cmd, *process, error) {
-	if info, err := os.Stat(logPath); err == nil && info.Size() > maxLogBytes {
-		disk.Rename(logPath, logPath+".old")
+// rotateLog sets a large log aside, in place of the one that was set aside before.
+func rotateLog(path string) error {
+	if info, err := os.Stat(path); err == nil && info.Size() > maxLogBytes {
+		return disk.Rename(path, path+".old")
 	}
-	out, err := disk.Open(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	return nil
+}
+
+// spawn starts a child. Its output goes to a file, so that it can outlive the
+// supervisor.
+func spawn(program string, args, env []string, logPath string) (cmd *exec.Cmd, p *process, err error) {
+	output, err := disk.Open(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer out.Close()
-	logAt, err := out.Seek(0, io.SeekEnd)
+	// The child has the file open: what this close returns is not about its output.
+	defer func() { _ = output.Close() }()
+	logOffset, err := output.Seek(0, io.SeekEnd)
 	if err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.Command(program, args...)
+	cmd = exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), env...)
-	cmd.Stdout, cmd.Stderr = out, out
-	// A group of its own: what a terminal sends to the supervisor is not for it.
+	cmd.Stdout, cmd.Stderr = output, output
+	// A separate process group: a terminal's signals to the supervisor are not for it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, nil, err
 	}
-	p := &process{pid: cmd.Process.Pid, startTime: startTime(cmd.Process.Pid), logOffset: logAt}
+	p = &process{pid: cmd.Process.Pid, startTime: startTime(cmd.Process.Pid), logOffset: logOffset}
 	if p.pidfd, err = unix.PidfdOpen(p.pid, 0); err != nil {
-		cmd.Process.Kill()
-		cmd.Wait()
-		return nil, nil, fmt.Errorf("pidfd: %w", err)
+		return nil, nil, errors.Join(fmt.Errorf("pidfd: %w", err), cmd.Process.Kill(), cmd.Wait())
 	}
 	return cmd, p, nil
 }
 
-// adopt takes hold of a process that runs already; nil if it has ended.
+// adopt opens a process that runs already; nil if it has ended.
 func adopt(pid int, start string) *process {
 	if pid <= 1 || start == "" || startTime(pid) != start {
 		return nil
 	}
-	fd, err := unix.PidfdOpen(pid, 0)
+	pidfd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
 		return nil
 	}
-	// It may have ended, and its number been used anew, before the open.
+	p := &process{pid: pid, startTime: start, pidfd: pidfd}
+	// It may have ended, and its pid been reused, before the open.
 	if startTime(pid) != start {
-		unix.Close(fd)
+		_ = p.close() // a descriptor that is not used: it calls for nothing
 		return nil
 	}
-	return &process{pid: pid, startTime: start, pidfd: fd}
+	return p
 }
 
-// waitForExit returns when a process that is no child has ended.
-func (p *process) waitForExit() {
-	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.pidfd), Events: unix.POLLIN}}, -1)
-		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
-			return
-		}
-	}
-}
-
-var upClient = http.Client{
-	Transport: &http.Transport{DisableKeepAlives: true},
-	Timeout:   2 * time.Second,
-}
-
-// healthStatus is what an instance says of itself at /up.
-type healthStatus struct {
-	pid                             int // 0 where nobody answered 200
-	reloadsSucceeded, reloadsFailed int // reloads
-}
-
-// checkHealth asks an instance whether it is up, and which process says so.
-func checkHealth(ctx context.Context, addr string) (u healthStatus) {
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/up", nil)
+// lastLine returns the last line of a log beyond an offset, shortened for an event.
+func lastLine(path string, offset int64) (line string, err error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return u
+		return "", err
 	}
-	r, err := upClient.Do(req)
+	defer func() { err = errors.Join(err, file.Close()) }()
+	info, err := file.Stat()
 	if err != nil {
-		return u
-	}
-	r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		return u
+		return "", err
 	}
-	u.pid, _ = strconv.Atoi(r.Header.Get("X-Pid"))
-	fmt.Sscanf(r.Header.Get("X-Reloads"), "%d/%d", &u.reloadsSucceeded, &u.reloadsFailed)
-	return u
-}
-
-const (
-	askFirst = 10 * time.Millisecond
-	askMost  = 200 * time.Millisecond
-)
-
-// waitUntilHealthy asks until is says yes, and returns true then, or false when ctx ends.
-// A process of another number that answers is not the one: the old one of a
-// hand-over, or one that has nothing to do with the fleet.
-func waitUntilHealthy(ctx context.Context, addr string, is func(healthStatus) bool) bool {
-	pause := askFirst
-	for {
-		if is(checkHealth(ctx, addr)) {
-			return true
-		}
-		select {
-		case <-ctx.Done():
-			return false
-		case <-time.After(pause):
-		}
-		pause = min(pause*3/2, askMost)
-	}
-}
-
-// lastLine returns the last line of a log behind a place in it, cut to what a
-// message can hold.
-func lastLine(path string, from int64) string {
-	f, err := os.Open(path)
-	if err != nil {
-		return ""
-	}
-	defer f.Close()
-	info, err := f.Stat()
-	if err != nil {
-		return ""
+	tail := make([]byte, max(0, min(info.Size()-offset, maxLastLineRead)))
+	if _, err := file.ReadAt(tail, info.Size()-int64(len(tail))); err != nil {
+		return "", err
 	}
-	buf := make([]byte, max(0, min(info.Size()-from, 2048)))
-	f.ReadAt(buf, info.Size()-int64(len(buf)))
-	lines := strings.Split(strings.TrimSpace(string(buf)), "\n")
-	line := lines[len(lines)-1]
-	if len(line) > 200 {
-		line = line[:197] + "..."
+	lines := strings.Split(strings.TrimSpace(string(tail)), "\n")
+	line = lines[len(lines)-1]
+	if len(line) > maxLastLineBytes {
+		line = line[:maxLastLineBytes-3] + "..."
 	}
-	return line
+	return line, nil
 }
--- /dev/null
+++ b/internal/fleet/supervisor/rollout.go
@@ -0,0 +1,205 @@
+package supervisor
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/rollout"
+	"otterspring/internal/inject"
+)
+
+const (
+	rolloutInterval    = 100 * time.Millisecond // between two looks at all hosts
+	checkpointInterval = time.Second            // between two checkpoints that may wait
+)
+
+// rolloutLeader runs operations, which are rolling restarts across all hosts, while
+// this process has the lease. It belongs to one goroutine.
+type rolloutLeader struct {
+	*leadership
+	checkpoint   rollout.Checkpoint
+	restored     bool // the checkpoint of the leader before was read
+	checkpointAt time.Time
+}
+
+// leadRollout runs the operations that wait, if it gets the lease.
+func (s *Supervisor) leadRollout(ctx context.Context, holder string) {
+	s.lead(ctx, RolloutLease, holder, func(ctx context.Context, l *leadership) stopReason {
+		leader := &rolloutLeader{leadership: l}
+		return leader.run(ctx)
+	})
+}
+
+// run advances the oldest operation until none is left or the leadership has ended.
+func (l *rolloutLeader) run(ctx context.Context) stopReason {
+	for ; ; sleep(ctx, rolloutInterval) {
+		if ctx.Err() != nil || !l.valid() {
+			return reasonLeaseExpired
+		}
+		response, err := l.supervisor.request(ctx, ask.Question{Kind: ask.State}, requestTimeout)
+		if err != nil {
+			continue // the lease ends where that lasts
+		}
+		operation := response.State.Open(RolloutLease)
+		if operation == nil {
+			return reasonNoOperation
+		}
+		l.advance(ctx, response.State, operation.ID, operation.Words)
+	}
+}
+
+// advance takes the next steps of an operation.
+func (l *rolloutLeader) advance(ctx context.Context, state *council.State, id string, body json.RawMessage) {
+	var request rollout.Request
+	if err := json.Unmarshal(body, &request); err != nil {
+		l.complete(ctx, id, fmt.Sprintf("malformed request %.100s: %v", body, err))
+		return
+	}
+	l.restore(state)
+	records := l.supervisor.decodeHostRecords(state.Facts)
+	hosts := l.collectStatus(ctx, records)
+	if l.checkpoint.RolloutID != id && !l.initialize(ctx, id, hosts) {
+		return
+	}
+	l.restored = true
+	decision := rollout.Decide(id, request, l.checkpoint, hosts)
+	if decision.RollBack && !l.checkpoint.RollingBack {
+		// It must be stored before the first step back is taken.
+		l.checkpoint.RollingBack = true
+		l.checkpoint.RollingBack = l.saveCheckpoint(ctx)
+		return
+	}
+	l.recordProgress(ctx, decision)
+	if decision.Result != "" {
+		l.saveCheckpoint(ctx)
+		l.complete(ctx, id, decision.Result)
+		return
+	}
+	l.execute(ctx, decision.Steps, records)
+}
+
+// restore reads the checkpoint of the leader before, until an operation has begun.
+func (l *rolloutLeader) restore(state *council.State) {
+	lease := state.Duties[RolloutLease]
+	if l.restored || lease == nil || lease.Note == nil {
+		return
+	}
+	if err := json.Unmarshal(lease.Note, &l.checkpoint); err != nil {
+		l.supervisor.log.Warn("malformed checkpoint", "lease", RolloutLease, "error", err)
+	}
+}
+
+// initialize stores the checkpoint of a new operation: the programs that run now, which
+// are what a rollback goes to, of all hosts and before anything is begun. It reports
+// whether that is done.
+func (l *rolloutLeader) initialize(ctx context.Context, id string, hosts []rollout.HostStatus) bool {
+	if slices.ContainsFunc(hosts, func(h rollout.HostStatus) bool { return !h.Contacted }) {
+		return false
+	}
+	l.checkpoint = rollout.Checkpoint{RolloutID: id, PreviousPrograms: map[string]string{}}
+	for _, host := range hosts {
+		l.checkpoint.PreviousPrograms[host.Name] = host.Program
+	}
+	if !l.saveCheckpoint(ctx) {
+		l.checkpoint = rollout.Checkpoint{} // not known to be stored
+		return false
+	}
+	return true
+}
+
+// recordProgress stores progress that has changed, at most once a checkpointInterval.
+func (l *rolloutLeader) recordProgress(ctx context.Context, decision rollout.Decision) {
+	previous := l.checkpoint
+	l.checkpoint.Completed, l.checkpoint.Total, l.checkpoint.Waiting = decision.Completed, decision.Total, decision.Waiting
+	changed := previous.Completed != decision.Completed || previous.Total != decision.Total || previous.Waiting != decision.Waiting
+	if changed && time.Since(l.checkpointAt) >= checkpointInterval {
+		l.saveCheckpoint(ctx)
+	}
+}
+
+// saveCheckpoint stores the checkpoint and reports whether it is known to be stored.
+func (l *rolloutLeader) saveCheckpoint(ctx context.Context) bool {
+	text, err := json.Marshal(l.checkpoint)
+	if err == nil {
+		err = l.supervisor.requestAccepted(ctx, ask.Question{Kind: council.Note, Duty: RolloutLease, Who: l.holder, Epoch: l.token, Data: text})
+	}
+	l.checkpointAt = time.Now()
+	if err != nil {
+		l.supervisor.log.Debug("checkpoint not stored", "lease", RolloutLease, "error", err)
+	}
+	return err == nil
+}
+
+// complete stores the result of an operation. Where that fails the operation is
+// found again in the next round.
+func (l *rolloutLeader) complete(ctx context.Context, id, result string) {
+	text, err := json.Marshal(result)
+	if err == nil {
+		err = l.supervisor.requestAccepted(ctx, ask.Question{Kind: council.End, Duty: RolloutLease, Who: l.holder, Epoch: l.token, ID: id, Data: text})
+	}
+	if err != nil {
+		l.supervisor.log.Debug("result of an operation not stored", "operation", id, "error", err)
+	}
+}
+
+// collectStatus requests the status of all hosts. Each host learns this
+// leadership's token by it.
+func (l *rolloutLeader) collectStatus(ctx context.Context, records map[string]hostRecord) []rollout.HostStatus {
+	hosts := make([]rollout.HostStatus, 0, len(records))
+	var mu sync.Mutex // guards hosts
+	var requests sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentChecks)
+	for name, record := range records {
+		slots <- struct{}{}
+		requests.Go(func() {
+			defer func() { <-slots }()
+			response, err := l.send(ctx, record.Address, hostCommand{Kind: commandReport})
+			host := rollout.HostStatus{Name: name, Zone: record.Zone}
+			if err == nil && response.Rejected == "" {
+				host = response.Host
+				host.Contacted = true
+			}
+			mu.Lock()
+			hosts = append(hosts, host)
+			mu.Unlock()
+		})
+	}
+	requests.Wait()
+	return hosts
+}
+
+// execute carries out steps at the same time, each begun only while the leadership
+// is valid.
+func (l *rolloutLeader) execute(ctx context.Context, steps []rollout.Step, records map[string]hostRecord) {
+	var commands sync.WaitGroup
+	for _, step := range steps {
+		if ctx.Err() != nil || !l.valid() {
+			break
+		}
+		commands.Go(func() { l.executeStep(ctx, step, records[step.Host].Address) })
+	}
+	commands.Wait()
+}
+
+func (l *rolloutLeader) executeStep(ctx context.Context, step rollout.Step, address string) {
+	// A process that is suspended here for longer than its lease sends a stale command: the fence is there for it.
+	inject.At("owner-acts")
+	command := hostCommand{Kind: commandRestart, Instance: step.Instance, Operation: step.RolloutID, Program: step.Program}
+	if step.Reload {
+		command.Kind = commandReload
+	}
+	response, err := l.send(ctx, address, command)
+	log := l.supervisor.log
+	switch {
+	case err != nil:
+		log.Warn("command not sent", "lease", l.lease, "host", step.Host, "instance", step.Instance, "error", err)
+	case response.Rejected != "":
+		log.Warn("command rejected by its host", "lease", l.lease, "host", step.Host, "instance", step.Instance, "error", response.Rejected)
+	}
+}
--- a/internal/fleet/supervisor/fleet_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -37,9 +38,10 @@
 			os.Exit(1)
 		}
 		ignore()
-		http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintln(os.Stderr, http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Pid", strconv.Itoa(os.Getpid()))
-		}))
+		})))
+		os.Exit(1)
 	case "broken":
 		fmt.Fprintln(os.Stderr, "broken: it ends at once")
 		os.Exit(3)
@@ -69,6 +71,13 @@
 	return path
 }
 
+func writeFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 const template = `{"name":"{name}","listen":"{listen}","discovery":"127.0.0.1:1","seed":"{seed}",
 "limits":{"cores":1,"memory_mb":64,"sockets":64},
 "settings":{"discovery":"subscribe","limits":{"try-limit":1,"conn-idle-us":5000000,"dial-timeout-us":100000},
@@ -100,8 +109,8 @@
 	t.Helper()
 	dir := t.TempDir()
 	ip, first := ports(t, n)
-	os.WriteFile(filepath.Join(dir, "base.json"), []byte(template), 0o600)
-	os.WriteFile(filepath.Join(dir, "n.toml"), nil, 0o600)
+	writeFile(t, filepath.Join(dir, "base.json"), []byte(template))
+	writeFile(t, filepath.Join(dir, "n.toml"), nil)
 	path := filepath.Join(dir, "fleet.toml")
 	text := fmt.Sprintf("program = %q\ndirectory = \"run\"\nconfig = \"base.json\"\ncount = %d\nlisten = \"%s:{port}\"\nfirst_port = %d\n", program(t, dir, kind), n, ip, first)
 	if !strings.Contains(more, "[start]") {
@@ -157,9 +166,13 @@
 }
 
 func (r *running) end(t *testing.T) {
+	t.Helper()
 	r.stop()
 	select {
-	case <-r.done:
+	case err := <-r.done:
+		if err != nil {
+			t.Errorf("the supervisor ended with %v", err)
+		}
 		r.done <- nil
 	case <-time.After(patience):
 		t.Errorf("the supervisor does not end: %s", r.out)
@@ -206,7 +219,7 @@
 // pids are the processes that a status names, by instance.
 func pids(status string) map[string][]int {
 	m := map[string][]int{}
-	for _, line := range strings.Split(status, "\n") {
+	for line := range strings.SplitSeq(status, "\n") {
 		f := strings.Fields(line)
 		if len(f) < 3 || !strings.HasPrefix(f[0], "n") || !strings.Contains(f[1], ":") {
 			continue
@@ -236,7 +249,7 @@
 	}
 	// A reload keeps the processes and brings the new configuration.
 	base := filepath.Join(filepath.Dir(r.file.Path), "base.json")
-	os.WriteFile(base, []byte(strings.Replace(template, "127.0.0.1:1", "127.0.0.1:2", 1)), 0o600)
+	writeFile(t, base, []byte(strings.Replace(template, "127.0.0.1:1", "127.0.0.1:2", 1)))
 	r.ask(t, "reload")
 	if got := pids(r.rolls(t, 2)); fmt.Sprint(got) != fmt.Sprint(after) {
 		t.Errorf("a reload changed processes: %v, %v", got, after)
@@ -252,14 +265,14 @@
 	}
 	// One that the program does not take goes back. The file itself is checked
 	// before anything is sent.
-	os.WriteFile(base, []byte("{"), 0o600)
+	writeFile(t, base, []byte("{"))
 	if _, err := SendCommand(r.file.Control, "reload"); err == nil || !strings.Contains(err.Error(), "no JSON") {
 		t.Errorf("a template that is no JSON: %v", err)
 	}
-	os.WriteFile(base, []byte(strings.Replace(template, `"cores":1`, `"cores":0`, 1)), 0o600)
+	writeFile(t, base, []byte(strings.Replace(template, `"cores":1`, `"cores":0`, 1)))
 	r.ask(t, "reload")
 	r.rolls(t, 3)
-	if n := strings.Count(r.out.String(), "roll done: 4 went well, 0 did not"); n != 2 || !strings.Contains(r.out.String(), "fleet: rolled back") {
+	if n := strings.Count(r.out.String(), "roll done: 4 went well, 0 did not"); n != 2 || !strings.Contains(r.out.String(), `instance=fleet decision="rolled back`) {
 		t.Errorf("%d rolls went well, want 2: %s", n, r.out)
 	}
 	for _, words := range [][]string{{"restart", "n9"}, {"dance"}, {"resume"}, {"cancel"}, {"restart", "-program", "/none"}} {
@@ -282,7 +295,7 @@
 			t.Errorf("%s: process %d still runs", name, p[0])
 		}
 	}
-	if _, err := SendCommand(r.file.Control, "status"); err == nil || !strings.Contains(err.Error(), "control socket") {
+	if _, err := SendCommand(r.file.Control, "status"); !errors.Is(err, ErrNoSupervisor) {
 		t.Errorf("a dead control socket: %v", err)
 	}
 }
@@ -295,7 +308,7 @@
 	dir := filepath.Dir(path)
 	for i := 1; i <= 3; i++ {
 		text := fmt.Sprintf("[handover]\nsocket = %q\n", filepath.Join(dir, fmt.Sprintf("n%d.sock", i)))
-		os.WriteFile(filepath.Join(dir, fmt.Sprintf("n%d.toml", i)), []byte(text), 0o600)
+		writeFile(t, filepath.Join(dir, fmt.Sprintf("n%d.toml", i)), []byte(text))
 	}
 	r := supervise(t, path)
 	before := pids(r.until(t, "3 instances, 3 up"))
@@ -343,7 +356,7 @@
 	r.ask(t, "restart", "-program", broken)
 	r.until(t, "rolled back")
 	r.until(t, "3 instances, 3 up")
-	if !strings.Contains(r.out.String(), "its last word: broken: it ends at once") {
+	if !strings.Contains(r.out.String(), `last_output="broken: it ends at once"`) {
 		t.Errorf("the reason is not named: %s", r.out)
 	}
 }
@@ -393,16 +406,22 @@
 	}
 	before := pids(r.until(t, "3 instances, 3 up"))
 	state := filepath.Join(f.Directory, "state.json")
-	if _, err := New(f, logs.New(r.out, logs.Options{})); err == nil || !strings.Contains(err.Error(), "another supervisor") {
+	if _, err := New(f, logs.New(r.out, logs.Options{})); !errors.Is(err, ErrDirectoryInUse) {
 		t.Errorf("a second supervisor: %v", err)
 	}
-	first.Process.Kill()
-	first.Wait()
-	if _, err := SendCommand(f.Control, "status"); err == nil || !strings.Contains(err.Error(), "dead control socket") {
+	if err := first.Process.Kill(); err != nil {
+		t.Fatal(err)
+	}
+	if err := first.Wait(); err == nil {
+		t.Error("the supervisor that was killed ended well")
+	}
+	if _, err := SendCommand(f.Control, "status"); !errors.Is(err, ErrNoSupervisor) || !strings.Contains(err.Error(), "dead control socket") {
 		t.Errorf("the dead control socket: %v", err)
 	}
 	// One of them dies meanwhile; its number is not taken for another's.
-	syscall.Kill(before["n2"][0], syscall.SIGKILL)
+	if err := syscall.Kill(before["n2"][0], syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
 	for startTime(before["n2"][0]) != "" {
 		time.Sleep(time.Millisecond)
 	}
@@ -414,10 +433,10 @@
 	}
 	list = slices.DeleteFunc(list, func(v savedProcess) bool { return v.Name == "n3" })
 	text, _ = json.Marshal(list)
-	os.WriteFile(state, text, 0o600)
+	writeFile(t, state, text)
 	r2 := supervise(t, path)
 	after := pids(r2.until(t, "3 instances, 3 up"))
-	if !strings.Contains(r2.out.String(), fmt.Sprintf("n3: process %d was started and not written down", before["n3"][0])) {
+	if !strings.Contains(r2.out.String(), fmt.Sprintf(`msg="running process is not in the state file" instance=n3 pid=%d`, before["n3"][0])) {
 		t.Errorf("not told of n3: %s", r2.out)
 	}
 	for _, name := range []string{"n1", "n3"} {
@@ -429,7 +448,9 @@
 		t.Errorf("n2: processes %v, before %v", after["n2"], before["n2"])
 	}
 	// What was adopted is watched, and stopped, like a child.
-	syscall.Kill(after["n1"][0], syscall.SIGKILL)
+	if err := syscall.Kill(after["n1"][0], syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
 	r2.until(t, "n1: crashed")
 	r2.until(t, "3 instances, 3 up")
 	r2.end(t)
@@ -450,9 +471,11 @@
 		t.Fatal(err)
 	}
 	specs, _ := f.Specs()
-	os.MkdirAll(f.Directory, 0o700)
+	if err := os.MkdirAll(f.Directory, 0o700); err != nil {
+		t.Fatal(err)
+	}
 	config := filepath.Join(f.Directory, "n1.json")
-	os.WriteFile(config, []byte(specs[0].Config), 0o600)
+	writeFile(t, config, []byte(specs[0].Config))
 	draining, up := exec.Command("sleep", "60"), exec.Command(f.Program)
 	up.Env = append(os.Environ(), "RELAY_CONFIG="+config)
 	list := []string{}
@@ -460,16 +483,19 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
+		t.Cleanup(func() {
+			_ = c.Process.Kill() // the supervisor may have ended it
+			_ = c.Wait()
+		})
 		list = append(list, fmt.Sprintf(`{"name":"n1","listen":%q,"pid":%d,"start":%q}`, specs[0].Listen, c.Process.Pid, startTime(c.Process.Pid)))
 	}
 	if !waitUntilHealthy(context.Background(), specs[0].Listen, func(u healthStatus) bool { return u.pid == up.Process.Pid }) {
 		t.Fatal("not up")
 	}
-	os.WriteFile(filepath.Join(f.Directory, "state.json"), []byte("["+strings.Join(list, ",")+"]"), 0o600)
+	writeFile(t, filepath.Join(f.Directory, "state.json"), []byte("["+strings.Join(list, ",")+"]"))
 	r := supervise(t, path)
 	got := pids(r.until(t, "1 instances, 1 up"))["n1"]
-	if len(got) != 1 || got[0] != up.Process.Pid || !strings.Contains(r.out.String(), "left to its drain") {
+	if len(got) != 1 || got[0] != up.Process.Pid || !strings.Contains(r.out.String(), fmt.Sprintf(`left to drain" instance=n1 pid=%d`, draining.Process.Pid)) {
 		t.Errorf("adopted %v, want %d: %s", got, up.Process.Pid, r.out)
 	}
 	// A torn state file is named, and nothing adopted of it.
@@ -492,7 +518,7 @@
 		t.Fatal(err)
 	}
 	r := supervise(t, path)
-	r.until(t, "in use by a process that is not of this fleet")
+	r.until(t, "in use by a process outside this fleet")
 	ln.Close()
 	r.until(t, "1 instances, 1 up")
 }
@@ -520,7 +546,7 @@
 		head + "control = \"" + strings.Repeat("x", 120) + "\"\ncount=1\nlisten=\"127.0.0.1:1\"": "control: found a path of",
 		"program = ": "f.toml:1",
 	} {
-		os.WriteFile(path, []byte(text), 0o600)
+		writeFile(t, path, []byte(text))
 		if _, err := LoadFile(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q:\n got  %v\n want %s", text, err, want)
 		}
@@ -529,13 +555,13 @@
 		t.Errorf("no file: %v", err)
 	}
 	// A file in the place of the control socket is left alone.
-	os.WriteFile(path, []byte(head+"control = \"c\"\ncount = 1\nlisten = \"127.0.0.1:1\"\n"), 0o600)
-	os.WriteFile(filepath.Join(dir, "c"), []byte("text"), 0o600)
+	writeFile(t, path, []byte(head+"control = \"c\"\ncount = 1\nlisten = \"127.0.0.1:1\"\n"))
+	writeFile(t, filepath.Join(dir, "c"), []byte("text"))
 	f, err := LoadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(f, logs.New(&bytes.Buffer{}, logs.Options{})); err == nil || !strings.Contains(err.Error(), "no socket") {
+	if _, err := New(f, logs.New(&bytes.Buffer{}, logs.Options{})); !errors.Is(err, ErrNotSocket) {
 		t.Errorf("a file at the control socket: %v", err)
 	}
 }
--- a/internal/fleet/supervisor/wire_test.go
+++ b/internal/fleet/supervisor/wire_test.go
@@ -222,9 +222,10 @@
 	}
 	done := make(chan error, 1)
 	go func() { done <- s.Run(t.Context()) }()
+	handler := &commandHandler{supervisor: s, done: t.Context().Done()}
 	post := func(method, path, body string) (int, string) {
 		w := httptest.NewRecorder()
-		s.serveHostCommand(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+		handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		return w.Code, strings.TrimSpace(w.Body.String())
 	}
 	const look = `{"duty":"roll","owner":"h2.1","epoch":7,"do":"look"}`
@@ -290,7 +291,7 @@
 func TestLocalEndpointOverHTTP(t *testing.T) {
 	t.Parallel()
 	settings := endpointlist.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
-	p := &listProxy{
+	p := &endpointProxy{
 		supervisor: &Supervisor{log: logs.New(io.Discard, logs.Options{})},
 		lease:      endpointListLease("a"),
 		cache:      endpointlist.NewCache("source"),
@@ -319,7 +320,7 @@
 	if err := p.apply(u, "test"); err != nil {
 		t.Fatal(err)
 	}
-	p.recordAnswer(nil)
+	p.recordResponse(nil)
 	for target, want := range map[string]string{
 		"/discovery/hosts":                       snapshot,
 		"/discovery/hosts?since=5&timeout_ms=10": `{"index":5,"snapshot":false,"endpoints":[]}`,
--- a/internal/lab/rig/between_test.go
+++ b/internal/lab/rig/between_test.go
@@ -290,13 +290,14 @@
 		if e.Do != history.Process || e.Op != "said" || e.Who != "f1" {
 			continue
 		}
-		woke = woke || strings.Contains(e.Value, "stood still for")
-		if strings.Contains(e.Value, ": killed") {
+		event := parseSupervisorLine(e.Value)
+		woke = woke || event.kind == supervisorSuspended
+		if event.killed() || event.kind == killDecided {
 			t.Errorf("f1 said %s", e.Value)
 		}
 	}
 	if !woke {
-		t.Errorf("f1 did not say that it stood still")
+		t.Errorf("f1 did not report that it was suspended")
 	}
 }
 
--- a/internal/lab/rig/council.go
+++ b/internal/lab/rig/council.go
@@ -9,7 +9,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"regexp"
 	"slices"
 	"strconv"
 	"strings"
@@ -170,70 +169,38 @@
 	return append(argv, h.owned.file)
 }
 
-var (
-	listsLine   = regexp.MustCompile(`council: (\S+) owns (list:\S+) under epoch (\d+)\.(\d+)`)
-	handsLine   = regexp.MustCompile(`applied list version (\d+) of (\S+), epoch (\d+)\.(\d+)`)
-	ownsLine    = regexp.MustCompile(`council: (\S+) owns roll under epoch (\d+)\.(\d+)`)
-	endsLine    = regexp.MustCompile(`council: \S+ ends epoch (\d+)\.(\d+) of roll: .*\(over for ([0-9a-zµ.]+)\)`)
-	takesLine   = regexp.MustCompile(`takes (?:restart|reload) of (\S+) for order (\S+) of (\S+), epoch (\d+)\.(\d+)`)
-	hearsLine   = regexp.MustCompile(`hears of (roll|list:\S*): (\S+) owns it, epoch (\d+)\.(\d+)`)
-	refusesLine = regexp.MustCompile(`refused: (\S+) of epoch (\d+)\.(\d+) of (\S+): .*(?:a late owner|two councils|this receiver has just started)`)
-)
-
 func epochOf(space, number string) uint64 {
 	a, _ := strconv.ParseUint(space, 10, 32)
 	b, _ := strconv.ParseUint(number, 10, 32)
 	return a<<32 | b
 }
 
-// heard takes a line of a supervisor.
-func (h *hosts) heard(role, line string) {
+// heard takes an event of a supervisor.
+func (h *hosts) heard(role string, event supervisorEvent) {
 	if h.owned == nil {
 		return
 	}
-	take := takesLine.FindStringSubmatch(line)
-	if take != nil {
-		// One that was started for the order before, and is started for it again; what
-		// crashed since bears the order without being taken.
-		h.mu.Lock()
-		if len(h.owned.starts[take[2]][take[1]]) > 0 {
-			h.owned.res.Twice++
-		}
-		h.mu.Unlock()
-		h.lookOnce()
-		if strings.Contains(line, "takes reload of") {
-			// No process is started for it: the one that is there is.
-			pid := h.instance(take[1]).upPid()
-			h.mu.Lock()
-			h.startedFor(take[2], take[1], pid)
-			h.mu.Unlock()
-		}
-		h.rolled()
+	if event.kind == commandAccepted {
+		h.heardAccepted(event)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.w.Log.Now()
-	if m := ownsLine.FindStringSubmatch(line); m != nil {
-		h.owned.res.Handovers++
-		if h.owned.vacant > 0 {
-			h.owned.res.Gaps = append(h.owned.res.Gaps, now-h.owned.vacant)
-			h.owned.vacant = 0
+	switch event.kind {
+	case leadershipAcquired:
+		h.heardLeadership(role, now, event)
+	case leadershipEnded:
+		if event.lease != rollLease {
+			return
 		}
-		h.owned.owner = role
-		h.owned.epochs[role] = epochOf(m[2], m[3])
-		h.owned.tenures[epochOf(m[2], m[3])] = &tenure{from: now}
-	}
-	if m := endsLine.FindStringSubmatch(line); m != nil {
-		if t := h.owned.tenures[epochOf(m[1], m[2])]; t != nil {
-			over, _ := time.ParseDuration(m[3])
-			t.to = now - over
+		if t := h.owned.tenures[event.token]; t != nil {
+			t.to = now - event.expiredFor
 		}
-	}
-	if endsLine.MatchString(line) && h.owned.owner == role {
-		h.owned.owner = ""
-	}
-	if m := take; m != nil {
-		h.owned.rolling[m[1]] = m[2]
+		if h.owned.owner == role {
+			h.owned.owner = ""
+		}
+	case commandAccepted:
+		h.owned.rolling[event.instance] = event.operation
 		h.owned.res.Most = max(h.owned.res.Most, len(h.owned.rolling))
 		zones := map[string]int{}
 		for name := range h.owned.rolling {
@@ -241,35 +208,68 @@
 			zones[zone]++
 			h.owned.res.MostZone = max(h.owned.res.MostZone, zones[zone])
 		}
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: m[3], To: role, Duty: "roll-of-all", Op: m[2], Value: m[1], Number: epochOf(m[4], m[5]), Result: history.Done})
-	}
-	if m := hearsLine.FindStringSubmatch(line); m != nil {
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: "roll-of-all", Op: event.operation, Value: event.instance, Number: event.token, Result: history.Done})
+	case leaseHolderChanged:
 		// From here on nothing older may take place at this receiver.
 		duty := "roll-of-all"
-		if m[1] == "roll" {
-			h.owned.epochs[role] = max(h.owned.epochs[role], epochOf(m[3], m[4]))
+		if event.lease == rollLease {
+			h.owned.epochs[role] = max(h.owned.epochs[role], event.token)
 		} else {
-			duty = m[1]
-			h.owned.list.sawEpoch(role, epochOf(m[3], m[4]))
+			duty = event.lease
+			h.owned.list.sawEpoch(role, event.token)
 		}
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: m[2], To: role, Duty: duty, Op: "look", Number: epochOf(m[3], m[4]), Result: history.Done})
-	}
-	if m := listsLine.FindStringSubmatch(line); m != nil {
-		h.owned.list.owns(role, epochOf(m[3], m[4]))
-	}
-	if m := handsLine.FindStringSubmatch(line); m != nil {
-		index, _ := strconv.ParseUint(m[1], 10, 64)
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: m[2], To: role, Duty: h.listDuty(role), Op: "list", Number: epochOf(m[3], m[4]), Value: m[1], Result: history.Done})
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: duty, Op: "look", Number: event.token, Result: history.Done})
+	case listApplied:
+		index, _ := strconv.ParseUint(event.version, 10, 64)
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.listDuty(role), Op: "list", Number: event.token, Value: event.version, Result: history.Done})
 		h.note(history.Entry{Event: audit.Event{Do: history.Saw, At: now}, Who: fmt.Sprintf("%s#%d", role, h.host(role).sup.cmd.Process.Pid), Key: "list", Number: index})
-	}
-	if m := refusesLine.FindStringSubmatch(line); m != nil {
-		if strings.Contains(line, "has just started") {
+	case commandFenced:
+		if event.uninitialized {
 			h.owned.res.Unheard++ // it knew of no epoch, and took nothing
 		} else {
 			h.owned.res.LateTried++
 		}
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: m[4], To: role, Duty: h.dutyOf(role, m[1]), Op: m[1], Number: epochOf(m[2], m[3]), Result: history.Refused})
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.dutyOf(role, event.command), Op: event.command, Number: event.token, Result: history.Refused})
+	}
+}
+
+// rollLease is the lease whose holder leads rolling restarts across all hosts.
+const rollLease = "roll"
+
+// heardAccepted takes that a supervisor begins a restart or a reload of an instance.
+func (h *hosts) heardAccepted(event supervisorEvent) {
+	// One that was started for the order before, and is started for it again; what
+	// crashed since bears the order without being taken.
+	h.mu.Lock()
+	if len(h.owned.starts[event.operation][event.instance]) > 0 {
+		h.owned.res.Twice++
+	}
+	h.mu.Unlock()
+	h.lookOnce()
+	if event.command == "reload" {
+		// No process is started for it: the one that is there is.
+		pid := h.instance(event.instance).upPid()
+		h.mu.Lock()
+		h.startedFor(event.operation, event.instance, pid)
+		h.mu.Unlock()
+	}
+	h.rolled()
+}
+
+// heardLeadership takes that a supervisor has a lease. The caller holds the mutex.
+func (h *hosts) heardLeadership(role string, now time.Duration, event supervisorEvent) {
+	if event.lease != rollLease {
+		h.owned.list.owns(role, event.token)
+		return
+	}
+	h.owned.res.Handovers++
+	if h.owned.vacant > 0 {
+		h.owned.res.Gaps = append(h.owned.res.Gaps, now-h.owned.vacant)
+		h.owned.vacant = 0
 	}
+	h.owned.owner = role
+	h.owned.epochs[role] = event.token
+	h.owned.tenures[event.token] = &tenure{from: now}
 }
 
 // rolled looks which instances that were under way for an order are up with it.
--- a/internal/lab/rig/hosts.go
+++ b/internal/lab/rig/hosts.go
@@ -290,12 +290,6 @@
 	rest []byte
 }
 
-var (
-	wasKilled = regexp.MustCompile(`msg="(n\d+): (?:process \d+ ended: signal: killed|.*: killed"$)`)
-	killed    = regexp.MustCompile(`msg="n\d+: .*: killed"$`) // by the supervisor's own decision
-	wentWrong = regexp.MustCompile(`msg="(n\d+): process \d+ ended: (exit status (?:2|66)|signal: (?:segmentation|aborted|illegal)[^"]*)`)
-)
-
 func (e *ears) Write(p []byte) (int, error) {
 	e.tail.Write(p)
 	e.rest = append(e.rest, p...)
@@ -307,16 +301,17 @@
 		line := string(e.rest[:i])
 		e.rest = e.rest[i+1:]
 		e.h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: e.role, Op: "said", Value: line})
-		e.h.heard(e.role, line)
-		if m := wasKilled.FindStringSubmatch(line); m != nil {
-			e.h.w.Log.Excuse(m[1], e.h.w.Log.Now()-3*time.Second)
+		event := parseSupervisorLine(line)
+		e.h.heard(e.role, event)
+		if event.killed() {
+			e.h.w.Log.Excuse(event.instance, e.h.w.Log.Now()-3*time.Second)
 		}
-		if killed.MatchString(line) {
+		if event.countedKill() {
 			e.h.mu.Lock()
 			e.h.kills++
 			e.h.mu.Unlock()
 		}
-		if wentWrong.MatchString(line) {
+		if event.crashed() {
 			e.h.fail(fmt.Errorf("%s: %w", line, ErrCrashed))
 		}
 	}
--- /dev/null
+++ b/internal/lab/rig/supervisor_log.go
@@ -0,0 +1,195 @@
+package rig
+
+import (
+	"regexp"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// eventKind is what a supervisor's log line reports.
+type eventKind int
+
+const (
+	otherEvent eventKind = iota
+	leadershipAcquired
+	leadershipEnded
+	leaseHolderChanged
+	commandAccepted
+	commandFenced // rejected for its fencing token
+	listApplied
+	killDecided // by the supervisor's own decision
+	processEnded
+	supervisorSuspended
+)
+
+// supervisorEvent is a supervisor's log line. Which fields are set depends on the
+// kind.
+type supervisorEvent struct {
+	kind          eventKind
+	instance      string
+	command       string
+	operation     string
+	lease         string
+	holder        string
+	token         uint64
+	version       string // of an endpoint list
+	expiredFor    time.Duration
+	status        string // how a process ended: its exit code or signal
+	lastOutput    string // of that process
+	uninitialized bool   // a fence rejected the command since it knew no holder yet
+	incomplete    bool   // the line stands for others that were left out, too
+}
+
+// killed reports whether a process of an instance was killed, by anybody.
+func (e *supervisorEvent) killed() bool {
+	return e.kind == killDecided && !e.incomplete || e.kind == processEnded && strings.HasPrefix(e.status, "signal: killed")
+}
+
+// countedKill reports whether the figure fleet_kills counts the event. It takes a
+// process that ended by SIGKILL and had written nothing for one, too.
+func (e *supervisorEvent) countedKill() bool {
+	return !e.incomplete && (e.kind == killDecided || e.kind == processEnded && e.status == "signal: killed" && e.lastOutput == "")
+}
+
+// crashStatus are the ends of a process that has found a fault in itself.
+var crashStatus = regexp.MustCompile(`^(?:exit status (?:2|66)|signal: (?:segmentation|aborted|illegal))`)
+
+// crashed reports whether a process ended by a fault of the program.
+func (e *supervisorEvent) crashed() bool {
+	return e.kind == processEnded && crashStatus.MatchString(e.status)
+}
+
+// eventKinds are the kinds by message.
+var eventKinds = map[string]eventKind{
+	"leadership acquired":                          leadershipAcquired,
+	"leadership ended":                             leadershipEnded,
+	"lease holder changed":                         leaseHolderChanged,
+	"command accepted":                             commandAccepted,
+	"command rejected by the fence":                commandFenced,
+	"endpoint list applied":                        listApplied,
+	"lifecycle decision":                           killDecided,
+	"process ended":                                processEnded,
+	"supervisor was suspended; deadlines extended": supervisorSuspended,
+}
+
+// instanceForm are the names of instances in a world.
+var instanceForm = regexp.MustCompile(`^n\d+$`)
+
+// parseSupervisorLine reads a line of a supervisor of this version or of the versions
+// before, which a world may run beside it.
+func parseSupervisorLine(line string) supervisorEvent {
+	attributes := logAttributes(line)
+	kind, known := eventKinds[attributes["msg"]]
+	if !known {
+		return parseEarlierLine(line)
+	}
+	event := supervisorEvent{
+		kind:          kind,
+		instance:      attributes["instance"],
+		command:       attributes["command"],
+		operation:     attributes["operation"],
+		lease:         attributes["lease"],
+		holder:        attributes["holder"],
+		token:         parseToken(attributes["token"]),
+		version:       attributes["version"],
+		status:        attributes["status"],
+		lastOutput:    attributes["last_output"],
+		uninitialized: strings.Contains(attributes["error"], "has just started"),
+		incomplete:    attributes["left_out"] != "",
+	}
+	switch kind {
+	case killDecided:
+		if !strings.HasSuffix(attributes["decision"], ": killed") || !instanceForm.MatchString(event.instance) {
+			return supervisorEvent{}
+		}
+	case processEnded:
+		if !instanceForm.MatchString(event.instance) {
+			return supervisorEvent{}
+		}
+	case leadershipEnded:
+		// Without a duration the leadership counts as ended now.
+		event.expiredFor, _ = time.ParseDuration(attributes["expired_for"])
+	}
+	return event
+}
+
+// logAttributes reads the key=value pairs of a line of log/slog's text handler.
+func logAttributes(line string) map[string]string {
+	attributes := map[string]string{}
+	for line = strings.TrimSpace(line); line != ""; line = strings.TrimLeft(line, " ") {
+		key, rest, found := strings.Cut(line, "=")
+		if !found {
+			break
+		}
+		value := rest
+		if quoted, err := strconv.QuotedPrefix(rest); err == nil {
+			value, rest = quoted, rest[len(quoted):]
+			if value, err = strconv.Unquote(quoted); err != nil {
+				break
+			}
+		} else {
+			value, rest, _ = strings.Cut(rest, " ")
+		}
+		attributes[key] = value
+		line = rest
+	}
+	return attributes
+}
+
+// parseToken reads a fencing token as it is logged, "space.number"; 0 for none.
+func parseToken(text string) uint64 {
+	space, number, _ := strings.Cut(text, ".")
+	return epochOf(space, number)
+}
+
+// The lines of versions up to 13b1ee2, whose messages hold all values.
+var (
+	earlierListLeadership   = regexp.MustCompile(`council: (\S+) owns (list:\S+) under epoch (\d+\.\d+)`)
+	earlierListApplied      = regexp.MustCompile(`applied list version (\d+) of (\S+), epoch (\d+\.\d+)`)
+	earlierRollLeadership   = regexp.MustCompile(`council: (\S+) owns (roll) under epoch (\d+\.\d+)`)
+	earlierLeadershipEnded  = regexp.MustCompile(`council: \S+ ends epoch (\d+\.\d+) of (roll): .*\(over for ([0-9a-zµ.]+)\)`)
+	earlierCommandAccepted  = regexp.MustCompile(`takes (restart|reload) of (\S+) for order (\S+) of (\S+), epoch (\d+\.\d+)`)
+	earlierHolderChanged    = regexp.MustCompile(`hears of (roll|list:\S*): (\S+) owns it, epoch (\d+\.\d+)`)
+	earlierCommandFenced    = regexp.MustCompile(`refused: (\S+) of epoch (\d+\.\d+) of (\S+): .*(?:a late owner|two councils|this receiver has just started)`)
+	earlierProcessEnded     = regexp.MustCompile(`msg="(n\d+): process \d+ ended: ([^";]*)(?:; its last word: ([^"]*))?`)
+	earlierKillDecided      = regexp.MustCompile(`msg="(n\d+): .*: killed"$`)
+	earlierSuspendedMessage = "stood still for"
+)
+
+// parseEarlierLine reads a line of a version up to 13b1ee2.
+func parseEarlierLine(line string) supervisorEvent {
+	if m := earlierCommandAccepted.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{kind: commandAccepted, command: m[1], instance: m[2], operation: m[3], holder: m[4], token: parseToken(m[5])}
+	}
+	for _, form := range []*regexp.Regexp{earlierRollLeadership, earlierListLeadership} {
+		if m := form.FindStringSubmatch(line); m != nil {
+			return supervisorEvent{kind: leadershipAcquired, holder: m[1], lease: m[2], token: parseToken(m[3])}
+		}
+	}
+	if m := earlierLeadershipEnded.FindStringSubmatch(line); m != nil {
+		expiredFor, _ := time.ParseDuration(m[3]) // as above
+		return supervisorEvent{kind: leadershipEnded, token: parseToken(m[1]), lease: m[2], expiredFor: expiredFor}
+	}
+	if m := earlierHolderChanged.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{kind: leaseHolderChanged, lease: m[1], holder: m[2], token: parseToken(m[3])}
+	}
+	if m := earlierListApplied.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{kind: listApplied, version: m[1], holder: m[2], token: parseToken(m[3])}
+	}
+	if m := earlierCommandFenced.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{
+			kind: commandFenced, command: m[1], token: parseToken(m[2]), holder: m[3], uninitialized: strings.Contains(line, "has just started"),
+		}
+	}
+	if m := earlierProcessEnded.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{kind: processEnded, instance: m[1], status: m[2], lastOutput: m[3], incomplete: !strings.HasSuffix(line, `"`)}
+	}
+	if m := earlierKillDecided.FindStringSubmatch(line); m != nil {
+		return supervisorEvent{kind: killDecided, instance: m[1]}
+	}
+	if strings.Contains(line, earlierSuspendedMessage) {
+		return supervisorEvent{kind: supervisorSuspended}
+	}
+	return supervisorEvent{}
+}
