--- a/internal/fleet/supervisor/actions.go
+++ b/internal/fleet/supervisor/actions.go
@@ -32,12 +32,12 @@
 			s.reload(ctx, action)
 		case lifecycle.CommitRelease:
 			s.commitUpdate()
-		case lifecycle.Report:
+		case lifecycle.EmitEvent:
 			name := fleetName
-			if action.Instance >= 0 {
+			if action.Instance != lifecycle.WholeFleet {
 				name = s.specs[action.Instance].Name
 			}
-			s.events.Info("lifecycle decision", "instance", name, "decision", action.Text)
+			s.logDecision(ctx, name, action.Event)
 		}
 		s.readClock()
 	}
--- a/internal/fleet/supervisor/commands.go
+++ b/internal/fleet/supervisor/commands.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/inject"
@@ -61,7 +61,7 @@
 // runHostCommand checks a command against the fence and runs it.
 func (s *Supervisor) runHostCommand(now time.Duration, command hostCommand) (hostResponse, []lifecycle.Action) {
 	before := s.fence.Newest(command.Lease)
-	if err := s.fence.Check(command.Lease, council.Tenant{Owner: command.Holder, Epoch: command.Token}); err != nil {
+	if err := s.fence.Check(command.Lease, coordination.Holder{Name: command.Holder, Token: command.Token}); err != nil {
 		s.events.Info("command rejected by the fence", "command", command.Kind, "token", command.Token, "holder", command.Holder, "error", err)
 		return s.rejection(err), nil
 	}
@@ -74,7 +74,7 @@
 		if err != nil {
 			return s.reject(command, err), nil
 		}
-		return hostResponse{ListVersion: version, StaleCommands: s.fence.Refused}, nil
+		return hostResponse{ListVersion: version, StaleCommands: s.fence.Rejected}, nil
 	case commandRestart, commandReload:
 		actions, err := s.runInstanceCommand(now, command)
 		if err != nil {
@@ -87,12 +87,12 @@
 
 // hostResponse is the response to a command that was accepted.
 func (s *Supervisor) hostResponse() hostResponse {
-	return hostResponse{Host: s.hostStatus(), StaleCommands: s.fence.Refused}
+	return hostResponse{Host: s.hostStatus(), StaleCommands: s.fence.Rejected}
 }
 
 // rejection is the response to a command that was not run.
 func (s *Supervisor) rejection(err error) hostResponse {
-	return hostResponse{Rejected: err.Error(), StaleCommands: s.fence.Refused}
+	return hostResponse{Rejected: err.Error(), StaleCommands: s.fence.Rejected}
 }
 
 // reject logs why a command that has passed the fence was not run, and returns the
@@ -139,12 +139,12 @@
 
 // reportLeaseHolder logs that a newer holder of a lease than before is known, from
 // the cluster or by its command: from here on commands of older ones are rejected.
-func (s *Supervisor) reportLeaseHolder(lease string, before council.Tenant) {
+func (s *Supervisor) reportLeaseHolder(lease string, before coordination.Holder) {
 	if lease != RolloutLease && (s.endpoints == nil || lease != s.endpoints.lease) {
 		return // no command under it comes here
 	}
-	if newest := s.fence.Newest(lease); newest.Epoch > before.Epoch && newest.Owner != "" {
-		s.events.Info("lease holder changed", "lease", lease, "holder", newest.Owner, "token", newest.Epoch)
+	if newest := s.fence.Newest(lease); newest.Token > before.Token && newest.Name != "" {
+		s.events.Info("lease holder changed", "lease", lease, "holder", newest.Name, "token", newest.Token)
 	}
 }
 
--- a/internal/fleet/supervisor/coordination.go
+++ b/internal/fleet/supervisor/coordination.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"time"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/lifecycle"
 )
 
@@ -53,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("council.listen: %w", err)
 	}
-	s.client = ask.NewClient(settings.Name, settings.Members)
+	s.client = client.NewClient(settings.Name, settings.Members)
 	server := &http.Server{
 		Handler:        &commandHandler{supervisor: s, done: ctx.Done()},
 		ReadTimeout:    requestTimeout,
@@ -61,7 +61,7 @@
 		IdleTimeout:    maxIdleConnectionTime,
 		MaxHeaderBytes: maxRequestHeaderBytes,
 	}
-	s.serve(ctx, server, ask.Bounded(listener, maxLeaderConnections))
+	s.serve(ctx, server, client.LimitListener(listener, maxLeaderConnections))
 	s.goroutines.Go(func() { <-ctx.Done(); s.client.Close() })
 	if err := s.startEndpointProxy(ctx); err != nil {
 		return err
@@ -104,9 +104,9 @@
 // poll waits for one view of the leases, and requests those that are vacant.
 func (f *leaseFollower) poll(ctx context.Context) {
 	supervisor := f.supervisor
-	request := ask.Question{Kind: ask.State}
+	request := client.Request{Kind: client.ReadState}
 	if f.synchronized {
-		request = ask.Question{Kind: ask.Hear, WaitMS: int(followWait.Milliseconds()), Seen: f.index}
+		request = client.Request{Kind: client.WatchLeases, WaitMS: int(followWait.Milliseconds()), SeenIndex: f.index}
 	}
 	response, err := supervisor.request(ctx, request, followWait+requestTimeout)
 	if err != nil {
@@ -114,7 +114,7 @@
 		sleep(ctx, coordinationRetryInterval)
 		return
 	}
-	supervisor.observeLeases(ctx, response.Duties, !f.synchronized)
+	supervisor.observeLeases(ctx, response.Holders, !f.synchronized)
 	if !f.synchronized {
 		f.synchronized = supervisor.publishHostRecord(ctx)
 		return
@@ -128,17 +128,17 @@
 
 // observeLeases hands a view of the leases to the fence. initial means that a
 // majority has it: a lease that it does not name has no holder, and any is newer.
-func (s *Supervisor) observeLeases(ctx context.Context, leases map[string]council.Tenant, initial bool) {
+func (s *Supervisor) observeLeases(ctx context.Context, leases map[string]coordination.Holder, initial bool) {
 	s.enqueue(ctx, func(time.Duration) []lifecycle.Action {
 		for lease, holder := range leases {
 			before := s.fence.Newest(lease)
-			s.fence.Hear(lease, holder)
+			s.fence.Observe(lease, holder)
 			s.reportLeaseHolder(lease, before)
 		}
 		if initial {
-			s.fence.Hear(RolloutLease, council.Tenant{})
+			s.fence.Observe(RolloutLease, coordination.Holder{})
 			if s.endpoints != nil {
-				s.fence.Hear(s.endpoints.lease, council.Tenant{})
+				s.fence.Observe(s.endpoints.lease, coordination.Holder{})
 			}
 		}
 		return nil
@@ -147,13 +147,13 @@
 
 // requestVacantLeases requests the leases that this host could use and nobody holds.
 // It reports whether there are any.
-func (f *leaseFollower) requestVacantLeases(ctx context.Context, response *ask.Answer) bool {
+func (f *leaseFollower) requestVacantLeases(ctx context.Context, response *client.Response) bool {
 	supervisor, vacant := f.supervisor, false
-	if supervisor.endpoints != nil && response.Duties[supervisor.endpoints.lease].Owner == "" {
+	if supervisor.endpoints != nil && response.Holders[supervisor.endpoints.lease].Name == "" {
 		vacant = true
 		supervisor.endpoints.lead(ctx, f.holder)
 	}
-	if response.Open[RolloutLease] && response.Duties[RolloutLease].Owner == "" {
+	if response.PendingOperations[RolloutLease] && response.Holders[RolloutLease].Name == "" {
 		vacant = true
 		if supervisor.leadsRollout.CompareAndSwap(false, true) {
 			supervisor.goroutines.Go(func() {
@@ -166,7 +166,7 @@
 }
 
 // request sends a request to the coordination cluster.
-func (s *Supervisor) request(ctx context.Context, request ask.Question, timeout time.Duration) (*ask.Answer, error) {
+func (s *Supervisor) request(ctx context.Context, request client.Request, timeout time.Duration) (*client.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return s.client.Do(ctx, request)
@@ -174,10 +174,10 @@
 
 // requestAccepted sends a request that the cluster may reject, which is a
 // rejectedError.
-func (s *Supervisor) requestAccepted(ctx context.Context, request ask.Question) error {
+func (s *Supervisor) requestAccepted(ctx context.Context, request client.Request) error {
 	response, err := s.request(ctx, request, requestTimeout)
-	if err == nil && response.Refused != "" {
-		return rejectedError(response.Refused)
+	if err == nil && response.Rejection != "" {
+		return rejectedError(response.Rejection)
 	}
 	return err
 }
@@ -187,7 +187,7 @@
 	settings := s.file.Coordination
 	text, err := json.Marshal(hostRecord{settings.Zone, settings.Listen, len(s.specs), s.file.Program})
 	if err == nil {
-		err = s.requestAccepted(ctx, ask.Question{Kind: council.Facts, Who: settings.Host, Data: text})
+		err = s.requestAccepted(ctx, client.Request{Kind: client.SetHostStatus, Subject: settings.Host, Data: text})
 	}
 	if err != nil {
 		s.log.Warn("host record not stored", "host", settings.Host, "error", err)
@@ -219,9 +219,9 @@
 	settings := s.file.Coordination
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	client := ask.NewClient(settings.Name, settings.Members)
-	defer client.Close()
-	if _, err := client.Do(ctx, ask.Question{Kind: council.Facts, Who: settings.Host}); err != nil {
+	leaving := client.NewClient(settings.Name, settings.Members)
+	defer leaving.Close()
+	if _, err := leaving.Do(ctx, client.Request{Kind: client.SetHostStatus, Subject: settings.Host}); err != nil {
 		s.log.Warn("host record not removed; use otterspring council forget", "host", settings.Host, "error", err)
 	}
 }
--- a/internal/fleet/supervisor/endpoints.go
+++ b/internal/fleet/supervisor/endpoints.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/endpointlist"
 	"otterspring/internal/inject"
 )
@@ -99,7 +99,7 @@
 		IdleTimeout:       maxIdleConnectionTime,
 		MaxHeaderBytes:    maxRequestHeaderBytes,
 	}
-	s.serve(ctx, server, ask.Bounded(listener, maxProxyConnections))
+	s.serve(ctx, server, client.LimitListener(listener, maxProxyConnections))
 	s.goroutines.Go(func() { proxy.watchDiscovery(ctx) })
 	return nil
 }
--- a/internal/fleet/supervisor/endpoints_leader.go
+++ b/internal/fleet/supervisor/endpoints_leader.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/endpointlist"
 	"otterspring/internal/inject"
 )
@@ -175,12 +175,12 @@
 // watchHosts asks the coordination cluster which hosts the zone has, until ctx ends.
 func (l *endpointLeader) watchHosts(ctx context.Context) {
 	for ; ctx.Err() == nil; sleep(ctx, hostRefreshInterval) {
-		response, err := l.supervisor.request(ctx, ask.Question{Kind: ask.State}, requestTimeout)
+		response, err := l.supervisor.request(ctx, client.Request{Kind: client.ReadState}, requestTimeout)
 		if err != nil || response.State == nil {
 			continue
 		}
 		addresses := map[string]string{}
-		for host, record := range l.supervisor.decodeHostRecords(response.State.Facts) {
+		for host, record := range l.supervisor.decodeHostRecords(response.State.HostStatus) {
 			if endpointListLease(record.Zone) == l.lease && record.Address != "" {
 				addresses[host] = record.Address
 			}
--- a/internal/fleet/supervisor/events.go
+++ b/internal/fleet/supervisor/events.go
@@ -5,7 +5,9 @@
 	"fmt"
 	"log/slog"
 	"strings"
+	"time"
 
+	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/logs"
 	"otterspring/internal/wallclock"
 )
@@ -15,11 +17,8 @@
 	statusRecentEvents = 5 // shown by the command status
 )
 
-// Log keys that the recent events treat specially.
-const (
-	instanceKey = "instance"
-	decisionKey = "decision" // text of a decision of the lifecycle
-)
+// instanceKey is the log key of an instance's name, which begins a recent event.
+const instanceKey = "instance"
 
 // recentEvents are the latest events, one line each. They belong to the goroutine
 // of Run.
@@ -27,8 +26,9 @@
 	lines []string
 }
 
-func (e *recentEvents) add(line string) {
-	e.lines = append(e.lines, line)
+// add adds an event at the present time.
+func (e *recentEvents) add(text string) {
+	e.lines = append(e.lines, wallclock.Now().Format("15:04:05 ")+text)
 	if excess := len(e.lines) - maxRecentEvents; excess > 0 {
 		e.lines = e.lines[excess:]
 	}
@@ -56,7 +56,7 @@
 // Handle implements slog.Handler.
 func (h *eventHandler) Handle(ctx context.Context, record slog.Record) error {
 	if h.recent != nil {
-		h.recent.add(wallclock.Now().Format("15:04:05 ") + eventText(record))
+		h.recent.add(eventText(record))
 	}
 	if !h.next.Enabled(ctx, record.Level) {
 		return nil
@@ -81,21 +81,35 @@
 	return &eventHandler{next: h.next.WithGroup(name), recent: h.recent}
 }
 
+// logDecision logs an event of the lifecycle, whose message is constant for its kind,
+// and keeps it for the command status in the words that other programs read. All
+// decisions for one instance share a bound. It belongs to the goroutine of Run.
+func (s *Supervisor) logDecision(ctx context.Context, instance string, event lifecycle.Event) {
+	s.recent.add(instance + ": " + event.Text())
+	if !s.sink.Enabled(ctx, slog.LevelInfo) {
+		return
+	}
+	record := slog.NewRecord(time.Now(), slog.LevelInfo, event.Message, 0)
+	record.AddAttrs(slog.String(instanceKey, instance))
+	record.AddAttrs(event.Attrs...)
+	record.AddAttrs(logs.Cause("decision " + instance))
+	if err := s.sink.Handle(ctx, record); err != nil {
+		s.recent.add("log not written: " + err.Error())
+	}
+}
+
 // eventText is an event as the command status shows it: the instance, the message
-// or the decision in its place, and the other attributes.
+// and the other attributes.
 func eventText(record slog.Record) string {
-	prefix, message := "", record.Message
+	prefix := ""
 	var attributes strings.Builder
 	record.Attrs(func(a slog.Attr) bool {
-		switch a.Key {
-		case instanceKey:
+		if a.Key == instanceKey {
 			prefix = a.Value.String() + ": "
-		case decisionKey:
-			message = a.Value.String()
-		default:
+		} else {
 			fmt.Fprintf(&attributes, " %s=%v", a.Key, a.Value)
 		}
 		return true
 	})
-	return prefix + message + attributes.String()
+	return prefix + record.Message + attributes.String()
 }
--- a/internal/fleet/supervisor/leadership.go
+++ b/internal/fleet/supervisor/leadership.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 )
 
 const (
@@ -42,11 +42,11 @@
 	supervisor     *Supervisor
 	supervisorDone <-chan struct{} // closed when the supervisor ends
 	lease, holder  string
-	token          council.Epoch
+	token          coordination.FencingToken
 	length, margin time.Duration // of the lease
 
-	mu     sync.Mutex // guards tenure
-	tenure council.Tenure
+	mu   sync.Mutex // guards term
+	term coordination.Leadership
 }
 
 // acquireLease requests a lease. It returns errLeaseHeld where another process has
@@ -54,11 +54,11 @@
 func (s *Supervisor) acquireLease(ctx context.Context, lease, holder string) (*leadership, error) {
 	sleep(ctx, time.Duration(rand.Int64N(int64(maxAcquireDelay))))
 	requestedAt := bootclock.Now()
-	response, err := s.request(ctx, ask.Question{Kind: council.Take, Duty: lease, Who: holder}, requestTimeout)
+	response, err := s.request(ctx, client.Request{Kind: client.AcquireLease, Lease: lease, Subject: holder}, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if response.Duty == nil || response.Duty.Owner != holder {
+	if response.Lease == nil || response.Lease.Holder != holder {
 		return nil, errLeaseHeld
 	}
 	l := &leadership{
@@ -66,11 +66,11 @@
 		supervisorDone: ctx.Done(),
 		lease:          lease,
 		holder:         holder,
-		token:          response.Duty.Epoch,
-		length:         response.Lease(),
-		margin:         response.Margin(),
+		token:          response.Lease.Token,
+		length:         response.LeaseDuration(),
+		margin:         response.SafetyMargin(),
 	}
-	l.tenure.Renewed(requestedAt, l.token, l.length, l.margin)
+	l.term.Renew(requestedAt, l.token, l.length, l.margin)
 	return l, nil
 }
 
@@ -100,8 +100,8 @@
 	renewal.Wait()
 	// expired_for is how long the lease had been over when the last work ended; 0 where it was valid.
 	log.Info("leadership ended", "token", l.token, "lease", l.lease, "holder", l.holder, "reason", reason,
-		"expired_for", l.tenure.Over(bootclock.Now()).Round(time.Millisecond))
-	release := ask.Question{Kind: council.Give, Duty: l.lease, Who: l.holder, Epoch: l.token}
+		"expired_for", l.term.ExpiredFor(bootclock.Now()).Round(time.Millisecond))
+	release := client.Request{Kind: client.ReleaseLease, Lease: l.lease, Subject: l.holder, Token: l.token}
 	if err := l.supervisor.requestAccepted(ctx, release); err != nil {
 		log.Debug("lease not released; it runs out", "lease", l.lease, "token", l.token, "error", err)
 	}
@@ -112,7 +112,7 @@
 func (l *leadership) valid() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tenure.Held(bootclock.Now())
+	return l.term.Valid(bootclock.Now())
 }
 
 // renew renews the lease until that is rejected, the lease has ended, or ctx ends.
@@ -123,15 +123,15 @@
 			return
 		}
 		requestedAt := bootclock.Now()
-		response, err := l.supervisor.request(ctx, ask.Question{Kind: ask.Renew, Duty: l.lease, Epoch: l.token}, l.length/2)
+		response, err := l.supervisor.request(ctx, client.Request{Kind: client.RenewLease, Lease: l.lease, Token: l.token}, l.length/2)
 		if err != nil {
 			continue
 		}
-		if response.Refused != "" {
+		if response.Rejection != "" {
 			return
 		}
 		l.mu.Lock()
-		l.tenure.Renewed(requestedAt, l.token, l.length, l.margin)
+		l.term.Renew(requestedAt, l.token, l.length, l.margin)
 		l.mu.Unlock()
 	}
 }
@@ -152,7 +152,8 @@
 		}
 	}()
 	response := &hostResponse{}
-	if err := ask.Post(ctx, &commandClient, address, hostCommandPath, "", command, response); err != nil {
+	endpoint := client.Endpoint{HTTP: &commandClient, Address: address, Path: hostCommandPath}
+	if err := endpoint.PostJSON(ctx, command, response); err != nil {
 		return nil, err
 	}
 	return response, nil
--- a/internal/fleet/supervisor/rollout.go
+++ b/internal/fleet/supervisor/rollout.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/inject"
 )
@@ -42,27 +42,27 @@
 		if ctx.Err() != nil || !l.valid() {
 			return reasonLeaseExpired
 		}
-		response, err := l.supervisor.request(ctx, ask.Question{Kind: ask.State}, requestTimeout)
+		response, err := l.supervisor.request(ctx, client.Request{Kind: client.ReadState}, requestTimeout)
 		if err != nil {
 			continue // the lease ends where that lasts
 		}
-		operation := response.State.Open(RolloutLease)
+		operation := response.State.PendingOperation(RolloutLease)
 		if operation == nil {
 			return reasonNoOperation
 		}
-		l.advance(ctx, response.State, operation.ID, operation.Words)
+		l.advance(ctx, response.State, operation.ID, operation.Request)
 	}
 }
 
 // advance takes the next steps of an operation.
-func (l *rolloutLeader) advance(ctx context.Context, state *council.State, id string, body json.RawMessage) {
+func (l *rolloutLeader) advance(ctx context.Context, state *coordination.State, id string, body json.RawMessage) {
 	var request rollout.Request
 	if err := json.Unmarshal(body, &request); err != nil {
 		l.complete(ctx, id, fmt.Sprintf("malformed request %.100s: %v", body, err))
 		return
 	}
 	l.restore(state)
-	records := l.supervisor.decodeHostRecords(state.Facts)
+	records := l.supervisor.decodeHostRecords(state.HostStatus)
 	hosts := l.collectStatus(ctx, records)
 	if l.checkpoint.RolloutID != id && !l.initialize(ctx, id, hosts) {
 		return
@@ -85,12 +85,12 @@
 }
 
 // restore reads the checkpoint of the leader before, until an operation has begun.
-func (l *rolloutLeader) restore(state *council.State) {
-	lease := state.Duties[RolloutLease]
-	if l.restored || lease == nil || lease.Note == nil {
+func (l *rolloutLeader) restore(state *coordination.State) {
+	lease := state.Leases[RolloutLease]
+	if l.restored || lease == nil || lease.Checkpoint == nil {
 		return
 	}
-	if err := json.Unmarshal(lease.Note, &l.checkpoint); err != nil {
+	if err := json.Unmarshal(lease.Checkpoint, &l.checkpoint); err != nil {
 		l.supervisor.log.Warn("malformed checkpoint", "lease", RolloutLease, "error", err)
 	}
 }
@@ -127,7 +127,7 @@
 func (l *rolloutLeader) saveCheckpoint(ctx context.Context) bool {
 	text, err := json.Marshal(l.checkpoint)
 	if err == nil {
-		err = l.supervisor.requestAccepted(ctx, ask.Question{Kind: council.Note, Duty: RolloutLease, Who: l.holder, Epoch: l.token, Data: text})
+		err = l.supervisor.requestAccepted(ctx, client.Request{Kind: client.WriteCheckpoint, Lease: RolloutLease, Subject: l.holder, Token: l.token, Data: text})
 	}
 	l.checkpointAt = time.Now()
 	if err != nil {
@@ -141,7 +141,7 @@
 func (l *rolloutLeader) complete(ctx context.Context, id, result string) {
 	text, err := json.Marshal(result)
 	if err == nil {
-		err = l.supervisor.requestAccepted(ctx, ask.Question{Kind: council.End, Duty: RolloutLease, Who: l.holder, Epoch: l.token, ID: id, Data: text})
+		err = l.supervisor.requestAccepted(ctx, client.Request{Kind: client.CompleteOperation, Lease: RolloutLease, Subject: l.holder, Token: l.token, OperationID: id, Data: text})
 	}
 	if err != nil {
 		l.supervisor.log.Debug("result of an operation not stored", "operation", id, "error", err)
--- a/internal/fleet/supervisor/supervisor.go
+++ b/internal/fleet/supervisor/supervisor.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/fleet/council"
-	"otterspring/internal/fleet/council/ask"
+	"otterspring/internal/fleet/coordination"
+	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/unixsocket"
 )
@@ -42,12 +42,13 @@
 type Supervisor struct {
 	file            *File
 	log             *slog.Logger // for any goroutine
+	sink            slog.Handler // that log writes to
 	origin          time.Time    // of the times that decisions see
 	directoryLock   *os.File     // locked until Run returns
 	controlListener net.Listener
 	requests        chan func(now time.Duration) []lifecycle.Action
 	goroutines      sync.WaitGroup // all that Run started, directly or not
-	client          *ask.Client    // nil without a coordination cluster; set before any goroutine uses it
+	client          *client.Client // nil without a coordination cluster; set before any goroutine uses it
 	endpoints       *endpointProxy // nil where the endpoint list is not relayed; set like client
 	leadsRollout    atomic.Bool    // a goroutine requests the lease of the rollout or has it
 
@@ -60,7 +61,7 @@
 	expectedAt       time.Duration      // when this goroutine should run again at the latest
 	events           *slog.Logger       // writes to log and recent
 	recent           *recentEvents
-	fence            *council.Fence
+	fence            *coordination.Fence
 	operations       map[int]string // the operation that each instance was last started for
 	failedOperations map[int]string // the operation for which its new process did not become ready
 }
@@ -80,6 +81,7 @@
 	s := &Supervisor{
 		file:             file,
 		log:              slog.New(&eventHandler{next: log.Handler()}),
+		sink:             log.Handler(),
 		origin:           time.Now(),
 		requests:         make(chan func(time.Duration) []lifecycle.Action),
 		specs:            specs,
@@ -87,7 +89,7 @@
 		program:          file.Program,
 		events:           slog.New(&eventHandler{next: log.Handler(), recent: recent}),
 		recent:           recent,
-		fence:            council.NewFence(),
+		fence:            coordination.NewFence(),
 		operations:       map[int]string{},
 		failedOperations: map[int]string{},
 	}
--- a/internal/fleet/supervisor/wire.go
+++ b/internal/fleet/supervisor/wire.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"otterspring/internal/fleet/council"
+	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/rollout"
 )
 
@@ -50,14 +50,14 @@
 
 // hostCommand is a command of a leader to a host, under its fencing token.
 type hostCommand struct {
-	Lease     string        `json:"duty"`
-	Holder    string        `json:"owner"`
-	Token     council.Epoch `json:"epoch"`
-	Kind      commandKind   `json:"do"`
-	Instance  string        `json:"instance,omitempty"`
-	Operation string        `json:"order,omitempty"`
-	Program   string        `json:"program,omitempty"`
-	List      *listPush     `json:"list,omitempty"`
+	Lease     string                    `json:"duty"`
+	Holder    string                    `json:"owner"`
+	Token     coordination.FencingToken `json:"epoch"`
+	Kind      commandKind               `json:"do"`
+	Instance  string                    `json:"instance,omitempty"`
+	Operation string                    `json:"order,omitempty"`
+	Program   string                    `json:"program,omitempty"`
+	List      *listPush                 `json:"list,omitempty"`
 }
 
 // hostResponse is the response to a hostCommand.
