--- a/internal/fleet/supervisor/wire_test.go
+++ b/internal/fleet/supervisor/wire_test.go
@@ -270,7 +270,7 @@
 	for body, want := range map[string]string{
 		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"dance"}`:                                         `"dance"`,
 		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"restart","instance":"n9","order":"r2"}`:          `"n9\"`,
-		`{"duty":"roll","owner":"h2.1","epoch":6,"do":"look"}`:                                          `epoch`,
+		`{"duty":"roll","owner":"h2.1","epoch":6,"do":"look"}`:                                          `0.6 of h2.1, wanted 0.7 or newer`,
 		`{"duty":"roll","owner":"h2.1","epoch":7,"do":"list","list":{"source":"s","from":0,"text":{}}}`: `list`,
 	} {
 		_, text := post("POST", "/v1/effect", body)
