--- a/internal/fleet/supervisor/control.go
+++ b/internal/fleet/supervisor/control.go
@@ -167,8 +167,8 @@
 // SendCommand sends one command to the supervisor whose control socket is at path
 // and returns its response. It returns ErrNoSupervisor where none listens, and waits
 // for 10 s at most. A command that the supervisor refuses is an error with its text.
-func SendCommand(path string, words ...string) (string, error) {
-	text, err := exchange(path, strings.Join(words, " "))
+func SendCommand(path string, command ...string) (string, error) {
+	text, err := exchange(path, strings.Join(command, " "))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", path, err)
 	}
--- /dev/null
+++ b/internal/fleet/supervisor/harness_test.go
@@ -0,0 +1,231 @@
+package supervisor
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"otterspring/internal/logs"
+	"otterspring/internal/sidecar/entrypoint"
+)
+
+const patience = 60 * time.Second
+
+// TestMain runs the very programs where a test asks for them: the sidecar, one
+// that ignores SIGTERM, one that ends at once, and a supervisor.
+func TestMain(m *testing.M) {
+	switch os.Getenv("TEST_RUNS_PROGRAM") {
+	case "sidecar":
+		os.Exit(entrypoint.Main(os.Args[1:], os.Stderr))
+	case "stubborn":
+		ln, err := net.Listen("tcp", os.Getenv("RELAY_LISTEN"))
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		signal.Ignore(syscall.SIGTERM)
+		fmt.Fprintln(os.Stderr, http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			w.Header().Set("X-Pid", strconv.Itoa(os.Getpid()))
+		})))
+		os.Exit(1)
+	case "broken":
+		fmt.Fprintln(os.Stderr, "broken: it ends at once")
+		os.Exit(3)
+	case "supervisor":
+		f, err := LoadFile(os.Args[1])
+		if err == nil {
+			var s *Supervisor
+			if s, err = New(f, logs.New(os.Stderr, logs.Options{})); err == nil {
+				err = s.Run(context.Background())
+			}
+		}
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(m.Run())
+}
+
+// program writes a script that runs this test's binary as one of the programs:
+// a fleet file names a path, and its environment is the supervisor's.
+func program(t *testing.T, dir, kind string) string {
+	t.Helper()
+	path := filepath.Join(dir, kind)
+	text := fmt.Sprintf("#!/bin/sh\nTEST_RUNS_PROGRAM=%s exec %s \"$@\"\n", kind, os.Args[0])
+	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func writeFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+const template = `{"name":"{name}","listen":"{listen}","discovery":"127.0.0.1:1","seed":"{seed}",
+"limits":{"cores":1,"memory_mb":64,"sockets":64},
+"settings":{"discovery":"subscribe","limits":{"try-limit":1,"conn-idle-us":5000000,"dial-timeout-us":100000},
+"rules":{"cold-from":0.5},"classes":[{"name":"read","deadline-us":1000000,"effect":"free"}]}}`
+
+// ports returns a first port of n that are free on an address of the test's
+// own, which no outgoing connection takes.
+func ports(t *testing.T, n int) (ip string, first int) {
+	t.Helper()
+	ip = fmt.Sprintf("127.%d.%d.%d", 100+os.Getpid()%100, 1+int(time.Now().UnixNano()/1000)%250, 1+int(time.Now().UnixNano()/250000)%250)
+	for first = 21000; first < 60000; first += n {
+		free := true
+		for p := first; p < first+n && free; p++ {
+			ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, p))
+			if free = err == nil; free {
+				ln.Close()
+			}
+		}
+		if free {
+			return ip, first
+		}
+	}
+	t.Fatal("no free ports")
+	return "", 0
+}
+
+// setup writes a fleet file of n instances and returns its path.
+func setup(t *testing.T, n int, kind, more string) string {
+	t.Helper()
+	dir := t.TempDir()
+	ip, first := ports(t, n)
+	writeFile(t, filepath.Join(dir, "base.json"), []byte(template))
+	writeFile(t, filepath.Join(dir, "n.toml"), nil)
+	path := filepath.Join(dir, "fleet.toml")
+	text := fmt.Sprintf("program = %q\ndirectory = \"run\"\nconfig = \"base.json\"\ncount = %d\nlisten = \"%s:{port}\"\nfirst_port = %d\n", program(t, dir, kind), n, ip, first)
+	if !strings.Contains(more, "[start]") {
+		more += "\n[start]\ndiscovery_lines = 100000\nready_within = \"1m\"\n"
+	}
+	if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// running is a supervisor within the test.
+type running struct {
+	file *File
+	out  *lockedBuffer
+	stop context.CancelFunc
+	done chan error
+}
+
+type lockedBuffer struct {
+	mu sync.Mutex
+	b  bytes.Buffer
+}
+
+func (l *lockedBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.Write(p)
+}
+
+func (l *lockedBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.String()
+}
+
+func supervise(t *testing.T, path string) *running {
+	t.Helper()
+	f, err := LoadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &running{file: f, out: &lockedBuffer{}, done: make(chan error, 1)}
+	s, err := New(f, logs.New(r.out, logs.Options{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	r.stop = stop
+	go func() { r.done <- s.Run(ctx) }()
+	t.Cleanup(func() { r.end(t) })
+	return r
+}
+
+func (r *running) end(t *testing.T) {
+	t.Helper()
+	r.stop()
+	select {
+	case err := <-r.done:
+		if err != nil {
+			t.Errorf("the supervisor ended with %v", err)
+		}
+		r.done <- nil
+	case <-time.After(patience):
+		t.Errorf("the supervisor does not end: %s", r.out)
+	}
+}
+
+func (r *running) command(t *testing.T, words ...string) string {
+	t.Helper()
+	text, err := SendCommand(r.file.Control, words...)
+	if err != nil {
+		t.Fatalf("%v: %v", words, err)
+	}
+	return text
+}
+
+// until waits for a status that says text.
+func (r *running) until(t *testing.T, text string) string {
+	t.Helper()
+	status := ""
+	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if status = r.command(t, "status"); strings.Contains(status, text) {
+			return status
+		}
+	}
+	t.Fatalf("never %q: %s\n%s", text, status, r.out)
+	return ""
+}
+
+// rolls waits until n rolls are over, and none is under way.
+func (r *running) rolls(t *testing.T, n int) string {
+	t.Helper()
+	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		over := strings.Count(r.out.String(), `msg="rolling update finished"`)
+		status := r.command(t, "status")
+		if over == n && !strings.Contains(status, "roll: ") {
+			return status
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%d rolls are over, want %d: %s\n%s", over, n, status, r.out)
+		}
+	}
+}
+
+// pids are the processes that a status names, by instance.
+func pids(status string) map[string][]int {
+	m := map[string][]int{}
+	for line := range strings.SplitSeq(status, "\n") {
+		f := strings.Fields(line)
+		if len(f) < 3 || !strings.HasPrefix(f[0], "n") || !strings.Contains(f[1], ":") {
+			continue
+		}
+		for _, word := range f[2:] {
+			if pid, err := strconv.Atoi(word); err == nil {
+				m[f[0]] = append(m[f[0]], pid)
+			}
+		}
+	}
+	return m
+}
--- a/internal/fleet/supervisor/signal_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package supervisor
-
-import (
-	"os/signal"
-	"syscall"
-)
-
-// ignore makes a test's program ignore SIGTERM.
-func ignore() { signal.Ignore(syscall.SIGTERM) }
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -1,239 +1,24 @@
 package supervisor
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
 
 	"otterspring/internal/logs"
-	"otterspring/internal/sidecar/entrypoint"
 )
 
-const patience = 60 * time.Second
-
-// TestMain runs the very programs where a test asks for them: the sidecar, one
-// that ignores SIGTERM, one that ends at once, and a supervisor.
-func TestMain(m *testing.M) {
-	switch os.Getenv("TEST_RUNS_PROGRAM") {
-	case "sidecar":
-		os.Exit(entrypoint.Main(os.Args[1:], os.Stderr))
-	case "stubborn":
-		ln, err := net.Listen("tcp", os.Getenv("RELAY_LISTEN"))
-		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		ignore()
-		fmt.Fprintln(os.Stderr, http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			w.Header().Set("X-Pid", strconv.Itoa(os.Getpid()))
-		})))
-		os.Exit(1)
-	case "broken":
-		fmt.Fprintln(os.Stderr, "broken: it ends at once")
-		os.Exit(3)
-	case "supervisor":
-		f, err := LoadFile(os.Args[1])
-		if err == nil {
-			var s *Supervisor
-			if s, err = New(f, logs.New(os.Stderr, logs.Options{})); err == nil {
-				err = s.Run(context.Background())
-			}
-		}
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	os.Exit(m.Run())
-}
-
-// program writes a script that runs this test's binary as one of the programs:
-// a fleet file names a path, and its environment is the supervisor's.
-func program(t *testing.T, dir, kind string) string {
-	t.Helper()
-	path := filepath.Join(dir, kind)
-	text := fmt.Sprintf("#!/bin/sh\nTEST_RUNS_PROGRAM=%s exec %s \"$@\"\n", kind, os.Args[0])
-	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-func writeFile(t *testing.T, path string, text []byte) {
-	t.Helper()
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-}
-
-const template = `{"name":"{name}","listen":"{listen}","discovery":"127.0.0.1:1","seed":"{seed}",
-"limits":{"cores":1,"memory_mb":64,"sockets":64},
-"settings":{"discovery":"subscribe","limits":{"try-limit":1,"conn-idle-us":5000000,"dial-timeout-us":100000},
-"rules":{"cold-from":0.5},"classes":[{"name":"read","deadline-us":1000000,"effect":"free"}]}}`
-
-// ports returns a first port of n that are free on an address of the test's
-// own, which no outgoing connection takes.
-func ports(t *testing.T, n int) (ip string, first int) {
-	t.Helper()
-	ip = fmt.Sprintf("127.%d.%d.%d", 100+os.Getpid()%100, 1+int(time.Now().UnixNano()/1000)%250, 1+int(time.Now().UnixNano()/250000)%250)
-	for first = 21000; first < 60000; first += n {
-		free := true
-		for p := first; p < first+n && free; p++ {
-			ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, p))
-			if free = err == nil; free {
-				ln.Close()
-			}
-		}
-		if free {
-			return ip, first
-		}
-	}
-	t.Fatal("no free ports")
-	return "", 0
-}
-
-// setup writes a fleet file of n instances and returns its path.
-func setup(t *testing.T, n int, kind, more string) string {
-	t.Helper()
-	dir := t.TempDir()
-	ip, first := ports(t, n)
-	writeFile(t, filepath.Join(dir, "base.json"), []byte(template))
-	writeFile(t, filepath.Join(dir, "n.toml"), nil)
-	path := filepath.Join(dir, "fleet.toml")
-	text := fmt.Sprintf("program = %q\ndirectory = \"run\"\nconfig = \"base.json\"\ncount = %d\nlisten = \"%s:{port}\"\nfirst_port = %d\n", program(t, dir, kind), n, ip, first)
-	if !strings.Contains(more, "[start]") {
-		more += "\n[start]\ndiscovery_lines = 100000\nready_within = \"1m\"\n"
-	}
-	if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-// running is a supervisor within the test.
-type running struct {
-	file *File
-	out  *lockedBuffer
-	stop context.CancelFunc
-	done chan error
-}
-
-type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *lockedBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *lockedBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
-
-func supervise(t *testing.T, path string) *running {
-	t.Helper()
-	f, err := LoadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &running{file: f, out: &lockedBuffer{}, done: make(chan error, 1)}
-	s, err := New(f, logs.New(r.out, logs.Options{}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.done <- s.Run(ctx) }()
-	t.Cleanup(func() { r.end(t) })
-	return r
-}
-
-func (r *running) end(t *testing.T) {
-	t.Helper()
-	r.stop()
-	select {
-	case err := <-r.done:
-		if err != nil {
-			t.Errorf("the supervisor ended with %v", err)
-		}
-		r.done <- nil
-	case <-time.After(patience):
-		t.Errorf("the supervisor does not end: %s", r.out)
-	}
-}
-
-func (r *running) ask(t *testing.T, words ...string) string {
-	t.Helper()
-	text, err := SendCommand(r.file.Control, words...)
-	if err != nil {
-		t.Fatalf("%v: %v", words, err)
-	}
-	return text
-}
-
-// until waits for a status that says text.
-func (r *running) until(t *testing.T, text string) string {
-	t.Helper()
-	status := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if status = r.ask(t, "status"); strings.Contains(status, text) {
-			return status
-		}
-	}
-	t.Fatalf("never %q: %s\n%s", text, status, r.out)
-	return ""
-}
-
-// rolls waits until n rolls are over, and none is under way.
-func (r *running) rolls(t *testing.T, n int) string {
-	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		over := strings.Count(r.out.String(), `msg="rolling update finished"`)
-		status := r.ask(t, "status")
-		if over == n && !strings.Contains(status, "roll: ") {
-			return status
-		}
-		if time.Now().After(end) {
-			t.Fatalf("%d rolls are over, want %d: %s\n%s", over, n, status, r.out)
-		}
-	}
-}
-
-// pids are the processes that a status names, by instance.
-func pids(status string) map[string][]int {
-	m := map[string][]int{}
-	for line := range strings.SplitSeq(status, "\n") {
-		f := strings.Fields(line)
-		if len(f) < 3 || !strings.HasPrefix(f[0], "n") || !strings.Contains(f[1], ":") {
-			continue
-		}
-		for _, word := range f[2:] {
-			if pid, err := strconv.Atoi(word); err == nil {
-				m[f[0]] = append(m[f[0]], pid)
-			}
-		}
-	}
-	return m
-}
-
 func TestRunRestartReloadStop(t *testing.T) {
 	t.Parallel()
 	r := supervise(t, setup(t, 4, "sidecar", "[restart]\nat_once = 2\n"))
@@ -241,7 +26,7 @@
 	if info, err := os.Stat(r.file.Control); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the control socket's mode: %v %v", info, err)
 	}
-	r.ask(t, "restart")
+	r.command(t, "restart")
 	after := pids(r.rolls(t, 1))
 	for name, p := range after {
 		if len(p) != 1 || p[0] == before[name][0] {
@@ -251,7 +36,7 @@
 	// A reload keeps the processes and brings the new configuration.
 	base := filepath.Join(filepath.Dir(r.file.Path), "base.json")
 	writeFile(t, base, []byte(strings.Replace(template, "127.0.0.1:1", "127.0.0.1:2", 1)))
-	r.ask(t, "reload")
+	r.command(t, "reload")
 	if got := pids(r.rolls(t, 2)); fmt.Sprint(got) != fmt.Sprint(after) {
 		t.Errorf("a reload changed processes: %v, %v", got, after)
 	}
@@ -271,7 +56,7 @@
 		t.Errorf("a template that is no JSON: %v", err)
 	}
 	writeFile(t, base, []byte(strings.Replace(template, `"cores":1`, `"cores":0`, 1)))
-	r.ask(t, "reload")
+	r.command(t, "reload")
 	r.rolls(t, 3)
 	if n := strings.Count(r.out.String(), `msg="rolling update finished" instance=fleet succeeded=4 failed=0 rolled_back=false`); n != 2 ||
 		!regexp.MustCompile(`msg="rolling update finished" instance=fleet succeeded=\d+ failed=\d+ rolled_back=true`).MatchString(r.out.String()) {
@@ -282,7 +67,7 @@
 			t.Errorf("%v: %v", words, err)
 		}
 	}
-	r.ask(t, "stop")
+	r.command(t, "stop")
 	select {
 	case err := <-r.done:
 		r.done <- err
@@ -304,7 +89,7 @@
 
 // A roll by hand-over: /up is answered all the while, by the old process or the
 // new one.
-func TestRollByHandOver(t *testing.T) {
+func TestRollingRestartByHandover(t *testing.T) {
 	t.Parallel()
 	path := setup(t, 3, "sidecar", "args = [\"-operator\", \"{dir}/../{name}.toml\"]\n[restart]\nmode = \"handover\"\n")
 	dir := filepath.Dir(path)
@@ -334,7 +119,7 @@
 			c.Close()
 		}
 	}()
-	r.ask(t, "restart")
+	r.command(t, "restart")
 	after := pids(r.until(t, "roll done: 3 went well, 0 did not"))
 	close(end)
 	if n := <-refused; n > 0 {
@@ -355,7 +140,7 @@
 	broken := program(t, filepath.Dir(path), "broken")
 	r := supervise(t, path)
 	r.until(t, "3 instances, 3 up")
-	r.ask(t, "restart", "-program", broken)
+	r.command(t, "restart", "-program", broken)
 	r.until(t, "rolled back")
 	r.until(t, "3 instances, 3 up")
 	if !strings.Contains(r.out.String(), `last_output="broken: it ends at once"`) {
@@ -377,7 +162,7 @@
 	t.Parallel()
 	r := supervise(t, setup(t, 1, "stubborn", "[restart]\nend_within = \"300ms\"\n"))
 	before := pids(r.until(t, "1 instances, 1 up"))["n1"]
-	r.ask(t, "restart")
+	r.command(t, "restart")
 	after := pids(r.until(t, "roll done: 1 went well"))["n1"]
 	if len(after) != 1 || after[0] == before[0] || !strings.Contains(r.out.String(), `msg="process killed" instance=n1 reason="not exited after SIGTERM" limit=300ms`) {
 		t.Errorf("%v, before %v: %s", after, before, r.out)
@@ -465,7 +250,7 @@
 
 // The supervisor was killed in the middle of a hand-over: of the two processes
 // of an instance the one that is up is adopted, the other left to its drain.
-func TestAdoptsTheOneThatIsUp(t *testing.T) {
+func TestHealthyProcessOfTwoIsAdopted(t *testing.T) {
 	t.Parallel()
 	path := setup(t, 1, "sidecar", "")
 	f, err := LoadFile(path)
@@ -524,46 +309,3 @@
 	ln.Close()
 	r.until(t, "1 instances, 1 up")
 }
-
-func TestBadFiles(t *testing.T) {
-	t.Parallel()
-	dir := t.TempDir()
-	prog := program(t, dir, "sidecar")
-	path := filepath.Join(dir, "f.toml")
-	head := fmt.Sprintf("program = %q\ndirectory = %q\n", prog, filepath.Join(dir, "run"))
-	for text, want := range map[string]string{
-		"":   "found no program, wanted it given",
-		head: "found no instance, wanted count or [[instance]]",
-		head + "count = 2\nlisten = \"127.0.0.1:80\"\n":                                          "listen: found 127.0.0.1:80 for both n1 and n2, wanted each address once",
-		head + "count = 2\nname = \"a\"\nlisten = \"127.0.0.1:{port}\"\n":                        "name: found \"a\" twice",
-		head + "count = 1\nlisten = \"here\"\n":                                                  "wanted an IP address and a port",
-		head + "count = 1\nlisten = \"127.0.0.1:0\"\n":                                           "wanted an IP address and a port",
-		head + "count = 2000\nlisten = \"127.0.0.1:{port}\"\n":                                   "f.toml:3: count: found 2000, wanted 1 to 1000",
-		head + "count = 1\nlisten = \"127.0.0.1:1\"\nconfig = \"none\"\n":                        "wanted a readable template",
-		head + "[[instance]]\nname = \"a\"\n":                                                    "f.toml:3: instance[1]: found no listen",
-		head + "[[instance]]\nname = \"a b\"\nlisten = \"127.0.0.1:1\"\n":                        "wanted a name without blanks",
-		head + "count = 1\nlisten = \"127.0.0.1:1\"\n[restart]\nmode = \"kill\"\n":               "restart.mode: found \"kill\", wanted one of term, handover",
-		head + "count = 1\nlisten = \"127.0.0.1:1\"\n[crash]\nfirst = \"1m\"\nmost = \"1s\"\n":   "crash.most: found 1s, wanted 1m0s",
-		"program = \"none\"\ndirectory = \"x\"\ncount = 1\nlisten = \"127.0.0.1:1\"\n":           "program: found no program",
-		head + "control = \"" + strings.Repeat("x", 120) + "\"\ncount=1\nlisten=\"127.0.0.1:1\"": "control: found a path of",
-		"program = ": "f.toml:1",
-	} {
-		writeFile(t, path, []byte(text))
-		if _, err := LoadFile(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q:\n got  %v\n want %s", text, err, want)
-		}
-	}
-	if _, err := LoadFile(filepath.Join(dir, "none")); err == nil || !strings.Contains(err.Error(), "no such file") {
-		t.Errorf("no file: %v", err)
-	}
-	// A file in the place of the control socket is left alone.
-	writeFile(t, path, []byte(head+"control = \"c\"\ncount = 1\nlisten = \"127.0.0.1:1\"\n"))
-	writeFile(t, filepath.Join(dir, "c"), []byte("text"))
-	f, err := LoadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := New(f, logs.New(&bytes.Buffer{}, logs.Options{})); !errors.Is(err, ErrNotSocket) {
-		t.Errorf("a file at the control socket: %v", err)
-	}
-}
