--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -2,12 +2,15 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 	"os/signal"
+	"strings"
 	"syscall"
+	"time"
 
 	"github.com/spf13/cobra"
 
@@ -16,136 +19,178 @@
 	"otterspring/internal/fleet/supervisor"
 )
 
+// progressInterval is the time between two looks at the progress of a rolling restart.
+const progressInterval = 200 * time.Millisecond
+
+var (
+	errRollPaused = errors.New("the roll has paused")
+	errRollFailed = errors.New("not all went well")
+)
+
 // fleetCommand is `otterspring fleet` with its verbs.
 func fleetCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("fleet", "run many sidecars on a host, restart and reload them",
+	return cli.NewGroup("fleet", "run many sidecars on a host, restart and reload them",
 		"fleet supervises the instances that a file describes (docs/operate/fleet.md). run does so\n"+
-			"until SIGTERM or SIGINT, and then stops them; the other verbs send a command to the running\n"+
-			"supervisor over its control socket. If the supervisor is killed the instances continue, and\n"+
-			"the next one adopts them. Exit codes: 0 done, 1 failed, 2 usage.",
-		fileVerb("run", "supervise until a signal, then stop all", func(ctx context.Context, f *supervisor.File) error {
-			return runFleet(ctx, f, log())
+			"until SIGTERM or SIGINT, and then stops them; the other verbs send a request to the running\n"+
+			"supervisor, over its control socket. If it is killed the instances continue; the next one\n"+
+			"adopts them. Exit codes: 0 done, 1 it could not be done, 2 usage.",
+		fleetVerb("run", "supervise until a signal, then stop all", func(file *supervisor.File, _ string) error {
+			return fleetRun(file, log())
 		}),
-		fileVerb("check", "report what is wrong with a file, start nothing", func(_ context.Context, f *supervisor.File) error {
-			return checkFleet(f, out)
+		fleetVerb("check", "check a file without starting anything", func(file *supervisor.File, path string) error {
+			return fleetCheck(file, path, out)
 		}),
-		controlVerb("status", "what each instance does", out),
-		controlVerb("resume", "resume a rolling restart or reload that has paused", out),
-		controlVerb("cancel", "cancel a rolling restart or reload", out),
-		controlVerb("stop", "stop all instances and the supervisor", out),
-		rollingVerb("restart", "restart all instances, or those named, at most restart.at_once at a time", out),
-		rollingVerb("reload", "reload all instances, or those named", out))
+		controlVerb("status", "show the status of all instances", out), controlVerb("resume", "resume a paused roll", out),
+		controlVerb("cancel", "cancel a roll", out), controlVerb("stop", "stop all instances and the supervisor", out),
+		rollVerb("restart", "restart all instances, or those named, at most restart.at_once at a time", out),
+		rollVerb("reload", "reload all instances, or those named", out))
 }
 
-// fileVerb is a verb that takes a fleet file and no other argument.
-func fileVerb(name, short string, do func(ctx context.Context, f *supervisor.File) error) *cobra.Command {
-	return &cobra.Command{Use: name + " FILE", Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
-		if len(args) > 1 {
+// fleetVerb returns a verb that takes a file and no further argument.
+func fleetVerb(name, short string, run func(file *supervisor.File, path string) error) *cobra.Command {
+	return &cobra.Command{Use: name + " FILE", Short: short, DisableFlagsInUseLine: true, RunE: func(_ *cobra.Command, args []string) error {
+		switch len(args) {
+		case 0:
+			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
+		case 1:
+		default:
 			return fmt.Errorf("%w: fleet %s: found %q, wanted nothing behind the file", errUsage, name, args[1])
 		}
-		f, err := loadFleetFile(name, args)
+		file, err := supervisor.LoadFile(args[0])
 		if err != nil {
 			return err
 		}
-		return do(c.Context(), f)
+		return run(file, args[0])
 	}}
 }
 
-// loadFleetFile loads the file that is the first argument of a verb.
-func loadFleetFile(verb string, args []string) (*supervisor.File, error) {
-	if len(args) == 0 {
-		return nil, fmt.Errorf("%w: fleet %s: wanted a file", errUsage, verb)
-	}
-	return supervisor.LoadFile(args[0])
-}
-
-// controlVerb is a verb that the supervisor carries out.
+// controlVerb returns a verb that is a request to the supervisor.
 func controlVerb(name, short string, out io.Writer) *cobra.Command {
-	return fileVerb(name, short, func(_ context.Context, f *supervisor.File) error { return sendCommand(f, out, name) })
+	return fleetVerb(name, short, func(file *supervisor.File, _ string) error {
+		return sendToSupervisor(file, out, name)
+	})
 }
 
-// rollingOptions are the flags of a rolling restart or reload.
-type rollingOptions struct {
-	wait       bool
-	everywhere bool   // on all hosts of the cluster
-	program    string // of a restart; empty for the one that runs
-	rollout    rollout.Request
+// rollFlags are the flags of a rolling restart or reload.
+type rollFlags struct {
+	wait, everywhere bool
+	program          string
+	request          rollout.Request
 }
 
-// rollingVerb is a verb that restarts or reloads instances one after another.
-func rollingVerb(name, short string, out io.Writer) *cobra.Command {
-	var options rollingOptions
-	command := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: short, DisableFlagsInUseLine: true}
-	command.RunE = func(c *cobra.Command, args []string) error {
-		f, err := loadFleetFile(name, args)
+// rollVerb returns the verb of a rolling restart or reload.
+func rollVerb(name, short string, out io.Writer) *cobra.Command {
+	var flags rollFlags
+	command := &cobra.Command{Use: name + " [flags] FILE [NAME...]", Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
+		if len(args) == 0 {
+			return fmt.Errorf("%w: fleet %s: wanted a file", errUsage, name)
+		}
+		file, err := supervisor.LoadFile(args[0])
 		if err != nil {
 			return err
 		}
-		return options.run(c.Context(), name, f, args[1:], out)
-	}
-	flags := command.Flags()
-	flags.BoolVar(&options.wait, "wait", false, "return when all instances are done")
+		if flags.everywhere {
+			flags.request.Program, flags.request.Reload = flags.program, name == "reload"
+			return rollEverywhere(c.Context(), file, flags, args[1:], out)
+		}
+		return rollHost(file, name, flags, args[1:], out)
+	}}
+	command.Flags().BoolVar(&flags.wait, "wait", false, "return when the roll is over")
 	if name == "restart" {
-		flags.StringVar(&options.program, "program", "", "the program to roll out; empty for the one that runs")
+		command.Flags().StringVar(&flags.program, "program", "", "the program to roll out; empty for the running one")
 	}
-	flags.BoolVar(&options.everywhere, "everywhere", false, name+" on all hosts of the file's council, by its lease holder")
-	flags.IntVar(&options.rollout.MaxConcurrent, "at-once", 1, "with -everywhere: instances in progress at a time in the fleet")
-	flags.IntVar(&options.rollout.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: in a zone; 0 for no separate bound")
+	command.Flags().BoolVar(&flags.everywhere, "everywhere", false, name+" on all hosts of the file's council, by the holder of its lease")
+	command.Flags().IntVar(&flags.request.MaxConcurrent, "at-once", 1, "with -everywhere: instances in flight in the fleet")
+	command.Flags().IntVar(&flags.request.MaxConcurrentPerZone, "zone-at-once", 0, "with -everywhere: instances in flight in a zone; 0 for no further bound")
 	return command
 }
 
-// run requests a rolling restart or reload of the named instances, or of all.
-func (o *rollingOptions) run(ctx context.Context, verb string, f *supervisor.File, names []string, out io.Writer) error {
-	if o.everywhere {
-		request := o.rollout
-		request.Program, request.Reload = o.program, verb == "reload"
-		return rollOutEverywhere(ctx, f, request, names, o.wait, out)
-	}
-	command := []string{verb}
-	if o.program != "" {
-		command = append(command, "-program", o.program)
+// rollHost requests a roll of the instances on this host.
+func rollHost(file *supervisor.File, name string, flags rollFlags, instances []string, out io.Writer) error {
+	request := []string{name}
+	if flags.program != "" {
+		request = append(request, "-program", flags.program)
 	}
-	if err := sendCommand(f, out, append(command, names...)...); err != nil || !o.wait {
+	if err := sendToSupervisor(file, out, append(request, instances...)...); err != nil || !flags.wait {
 		return err
 	}
-	return waitForUpdate(ctx, f, out)
+	return waitForRoll(file, out)
 }
 
-// sendCommand sends a command to the supervisor and prints its response.
-func sendCommand(f *supervisor.File, out io.Writer, command ...string) error {
-	response, err := supervisor.SendCommand(f.Control, command...)
-	if err != nil {
-		return err
+// sendToSupervisor sends a request to the supervisor and prints its response.
+func sendToSupervisor(file *supervisor.File, out io.Writer, request ...string) error {
+	response, err := supervisor.SendCommand(file.Control, request...)
+	if err == nil {
+		_, err = io.WriteString(out, response)
 	}
-	_, err = io.WriteString(out, response)
 	return err
 }
 
-// checkFleet prints how many instances a file has.
-func checkFleet(f *supervisor.File, out io.Writer) error {
-	specs, err := f.Specs()
+func fleetCheck(file *supervisor.File, path string, out io.Writer) error {
+	specs, err := file.Specs()
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: good; %s\n", f.Path, plural(len(specs), "instance", "instances"))
-	return err
+	return printf(out, "%s: good; %s\n", path, plural(len(specs), "instance", "instances"))
 }
 
-// runFleet supervises until SIGTERM or SIGINT.
-func runFleet(ctx context.Context, f *supervisor.File, log *slog.Logger) error {
-	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+// fleetRun supervises until a signal.
+func fleetRun(file *supervisor.File, log *slog.Logger) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	s, err := supervisor.New(f, log) //nolint:contextcheck // it opens its sockets and waits for nothing
+	s, err := supervisor.New(file, log)
 	if err != nil {
 		return err
 	}
 	return s.Run(ctx)
 }
 
-// plural is a number with its noun.
-func plural(n int, one, many string) string {
-	if n == 1 {
-		return "1 " + one
+// waitForRoll prints the progress of a roll until it is over, from the status that the
+// supervisor returns as text.
+func waitForRoll(file *supervisor.File, out io.Writer) error {
+	printed := ""
+	for {
+		status, err := supervisor.SendCommand(file.Control, "status")
+		if err != nil {
+			return err
+		}
+		progress := rollProgress(status)
+		if progress != printed && progress != "" {
+			if err := printf(out, "%s\n", progress); err != nil {
+				return err
+			}
+			printed = progress
+		}
+		switch {
+		case strings.Contains(progress, "paused"):
+			return errRollPaused
+		case progress == "":
+			return printRollOutcome(status, out)
+		}
+		time.Sleep(progressInterval)
+	}
+}
+
+// rollProgress returns the progress of the roll in a status; empty where there is none.
+func rollProgress(status string) (progress string) {
+	for line := range strings.SplitSeq(status, "\n") {
+		if text, found := strings.CutPrefix(line, "roll: "); found {
+			progress = text
+		}
+	}
+	return progress
+}
+
+// printRollOutcome prints the last line of a status, which is the outcome of the last
+// roll, and returns errRollFailed if it failed.
+func printRollOutcome(status string, out io.Writer) error {
+	lines := strings.Split(strings.TrimSpace(status), "\n")
+	outcome := lines[len(lines)-1]
+	if err := printf(out, "%s\n", outcome); err != nil {
+		return err
+	}
+	if strings.Contains(outcome, "rolled back") || !strings.Contains(outcome, ", 0 did not") {
+		return errRollFailed
 	}
-	return fmt.Sprintf("%d %s", n, many)
+	return nil
 }
--- a/internal/fleet/supervisor/actions.go
+++ b/internal/fleet/supervisor/actions.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"otterspring/internal/disk"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/inject"
 )
 
 // fleetName stands for an instance's name in events of the whole fleet.
@@ -80,7 +80,7 @@
 	if err := s.checkAddressFree(i, spec.Listen); err != nil {
 		return err
 	}
-	inject.At("fleet-starts")
+	faultinjection.At("fleet-starts")
 	if err := rotateLog(s.logPath(i)); err != nil {
 		s.log.Warn("log not rotated", "instance", spec.Name, "error", err)
 	}
@@ -90,9 +90,9 @@
 	}
 	p.id, p.operation, p.program = action.Process, operation, program
 	s.processes[i][p.id] = p
-	inject.At("fleet-started")
+	faultinjection.At("fleet-started")
 	s.saveState()
-	inject.At("fleet-saved")
+	faultinjection.At("fleet-saved")
 	s.watch(ctx, i, p, spec.Listen, cmd.Wait)
 	return nil
 }
@@ -115,7 +115,7 @@
 	alive, cancel := context.WithCancel(ctx)
 	s.goroutines.Go(func() {
 		if waitUntilHealthy(alive, address, func(status healthStatus) bool { return status.pid == proc.pid }) {
-			inject.At("fleet-saw-it-ready")
+			faultinjection.At("fleet-saw-it-ready")
 			s.enqueue(alive, func(now time.Duration) []lifecycle.Action { return s.lifecycle.ProcessReady(now, i, proc.id) })
 		}
 	})
@@ -142,7 +142,7 @@
 	s.enqueue(ctx, func(now time.Duration) []lifecycle.Action {
 		s.closeHandle(proc)
 		delete(s.processes[i], proc.id)
-		inject.At("fleet-saw-the-end")
+		faultinjection.At("fleet-saw-the-end")
 		s.saveState()
 		if !result.clean {
 			attributes := []any{"instance", s.specs[i].Name, "pid", proc.pid, "status", result.status}
@@ -220,8 +220,8 @@
 	if p == nil {
 		return
 	}
-	inject.At("fleet-ends")
-	defer inject.At("fleet-ended")
+	faultinjection.At("fleet-ends")
+	defer faultinjection.At("fleet-ended")
 	if err := p.signal(signal); err != nil {
 		s.events.Info("signal not sent", "instance", s.specs[action.Instance].Name, "pid", p.pid, "signal", signal, "error", err)
 	}
--- a/internal/fleet/supervisor/commands.go
+++ b/internal/fleet/supervisor/commands.go
@@ -7,10 +7,10 @@
 	"net/http"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/fleet/rollout"
-	"otterspring/internal/inject"
 )
 
 // A host as the receiver of leaders' commands. Each is checked against the fence and
@@ -128,7 +128,7 @@
 	s.update.operation, s.update.instance = command.Operation, i
 	s.events.Info("command accepted", "command", command.Kind, "instance", command.Instance, "operation", command.Operation,
 		"holder", command.Holder, "token", command.Token)
-	inject.At("fleet-takes-order")
+	faultinjection.At("fleet-takes-order")
 	return actions, nil
 }
 
--- a/internal/fleet/supervisor/endpoints.go
+++ b/internal/fleet/supervisor/endpoints.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"otterspring/internal/bootclock"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/endpointlist"
-	"otterspring/internal/inject"
 )
 
 // The supervisor's part in relaying discovery's endpoint list. The holder of a zone's
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := inject.Way(ctx, p.settings.Discovery); err != nil {
+	if err := faultinjection.BeforeSend(ctx, p.settings.Discovery); err != nil {
 		return err
 	}
 	text, err := get(ctx, url)
@@ -225,7 +225,7 @@
 	}
 	if changed {
 		s.events.Info("endpoint list applied", "version", version, "holder", command.Holder, "token", command.Token)
-		inject.At("list-taken")
+		faultinjection.At("list-taken")
 	}
 	return version, nil
 }
--- a/internal/fleet/supervisor/endpoints_leader.go
+++ b/internal/fleet/supervisor/endpoints_leader.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"otterspring/internal/bootclock"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/endpointlist"
-	"otterspring/internal/inject"
 )
 
 const (
@@ -144,7 +144,7 @@
 func (l *endpointLeader) push(ctx context.Context, address string, since int64) int64 {
 	message := l.proxy.pushSince(since)
 	// A process that is suspended here for longer than its lease sends a stale command: fence and version are there for it.
-	inject.At("list-tells")
+	faultinjection.At("list-tells")
 	response, err := l.send(ctx, address, hostCommand{Kind: commandList, List: message})
 	log := l.supervisor.log
 	switch {
--- a/internal/fleet/supervisor/events.go
+++ b/internal/fleet/supervisor/events.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/wallclock"
 )
 
@@ -67,7 +67,7 @@
 		return false
 	})
 	bounded := record.Clone()
-	bounded.AddAttrs(logs.Cause(subject))
+	bounded.AddAttrs(logging.Cause(subject))
 	return h.next.Handle(ctx, bounded)
 }
 
@@ -92,7 +92,7 @@
 	record := slog.NewRecord(time.Now(), slog.LevelInfo, event.Message, 0)
 	record.AddAttrs(slog.String(instanceKey, instance))
 	record.AddAttrs(event.Attrs...)
-	record.AddAttrs(logs.Cause("decision " + instance))
+	record.AddAttrs(logging.Cause("decision " + instance))
 	if err := s.sink.Handle(ctx, record); err != nil {
 		s.recent.add("log not written: " + err.Error())
 	}
--- a/internal/fleet/supervisor/events_test.go
+++ b/internal/fleet/supervisor/events_test.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 // newLoggingSupervisor has what logs events, and nothing else.
-func newLoggingSupervisor(options logs.Options) (*Supervisor, *bytes.Buffer) {
+func newLoggingSupervisor(options logging.Options) (*Supervisor, *bytes.Buffer) {
 	output := &bytes.Buffer{}
-	sink := logs.New(output, options).Handler()
+	sink := logging.New(output, options).Handler()
 	recent := &recentEvents{}
 	return &Supervisor{sink: sink, events: slog.New(&eventHandler{next: sink, recent: recent}), recent: recent}, output
 }
@@ -24,7 +24,7 @@
 // lifecycle for all messages; other instances have bounds of their own.
 func TestEventsAreBoundedByInstance(t *testing.T) {
 	t.Parallel()
-	s, output := newLoggingSupervisor(logs.Options{Burst: 2, Every: time.Hour})
+	s, output := newLoggingSupervisor(logging.Options{Burst: 2, Every: time.Hour})
 	for i := range 5 {
 		for _, name := range []string{"n1", "n2"} {
 			s.events.Info("process ended", "instance", name, "pid", i)
@@ -44,7 +44,7 @@
 // The status has the latest events whatever the log's level and bounds leave out.
 func TestRecentEvents(t *testing.T) {
 	t.Parallel()
-	s, output := newLoggingSupervisor(logs.Options{Level: slog.LevelError, Burst: 1})
+	s, output := newLoggingSupervisor(logging.Options{Level: slog.LevelError, Burst: 1})
 	for i := range maxRecentEvents + 1 {
 		s.events.Info("process ended", "instance", "n1", "pid", i, "status", "exit status 3")
 	}
--- a/internal/fleet/supervisor/harness_test.go
+++ b/internal/fleet/supervisor/harness_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/sidecar/entrypoint"
 )
 
@@ -46,7 +46,7 @@
 		f, err := LoadFile(os.Args[1])
 		if err == nil {
 			var s *Supervisor
-			if s, err = New(f, logs.New(os.Stderr, logs.Options{})); err == nil {
+			if s, err = New(f, logging.New(os.Stderr, logging.Options{})); err == nil {
 				err = s.Run(context.Background())
 			}
 		}
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	r := &running{file: f, out: &lockedBuffer{}, done: make(chan error, 1)}
-	s, err := New(f, logs.New(r.out, logs.Options{}))
+	s, err := New(f, logging.New(r.out, logging.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/supervisor/rollout.go
+++ b/internal/fleet/supervisor/rollout.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/rollout"
-	"otterspring/internal/inject"
 )
 
 const (
@@ -189,7 +189,7 @@
 
 func (l *rolloutLeader) executeStep(ctx context.Context, step rollout.Step, address string) {
 	// A process that is suspended here for longer than its lease sends a stale command: the fence is there for it.
-	inject.At("owner-acts")
+	faultinjection.At("owner-acts")
 	command := hostCommand{Kind: commandRestart, Instance: step.Instance, Operation: step.RolloutID, Program: step.Program}
 	if step.Reload {
 		command.Kind = commandReload
--- a/internal/fleet/supervisor/settings.go
+++ b/internal/fleet/supervisor/settings.go
@@ -15,7 +15,7 @@
 
 	"otterspring/internal/disk"
 	"otterspring/internal/fleet/lifecycle"
-	"otterspring/internal/strictfile"
+	"otterspring/internal/strictconfig"
 )
 
 const (
@@ -174,10 +174,10 @@
 }
 
 // LoadFile reads and checks a fleet file and its templates. Errors in them are
-// strictfile.Error.
+// strictconfig.Error.
 func LoadFile(path string) (*File, error) {
 	f := defaults()
-	if err := strictfile.Load(path, &f); err != nil {
+	if err := strictconfig.Load(path, &f); err != nil {
 		return nil, err
 	}
 	f.Path = path
@@ -278,7 +278,7 @@
 }
 
 func (f *File) invalid(key, found, wanted string) error {
-	return &strictfile.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
+	return &strictconfig.Error{File: f.Path, Key: key, Found: found, Wanted: wanted}
 }
 
 // Specs returns the instances, with the templates as they are on disk now. Names and
--- a/internal/fleet/supervisor/settings_test.go
+++ b/internal/fleet/supervisor/settings_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 func TestBadFiles(t *testing.T) {
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(f, logs.New(&bytes.Buffer{}, logs.Options{})); !errors.Is(err, ErrNotSocket) {
+	if _, err := New(f, logging.New(&bytes.Buffer{}, logging.Options{})); !errors.Is(err, ErrNotSocket) {
 		t.Errorf("a file at the control socket: %v", err)
 	}
 }
--- a/internal/fleet/supervisor/supervisor_test.go
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 func TestRunRestartReloadStop(t *testing.T) {
@@ -193,7 +193,7 @@
 	}
 	before := pids(r.until(t, "3 instances, 3 up"))
 	state := filepath.Join(f.Directory, "state.json")
-	if _, err := New(f, logs.New(r.out, logs.Options{})); !errors.Is(err, ErrDirectoryInUse) {
+	if _, err := New(f, logging.New(r.out, logging.Options{})); !errors.Is(err, ErrDirectoryInUse) {
 		t.Errorf("a second supervisor: %v", err)
 	}
 	if err := first.Process.Kill(); err != nil {
--- a/internal/fleet/supervisor/wire_test.go
+++ b/internal/fleet/supervisor/wire_test.go
@@ -24,7 +24,7 @@
 	"otterspring/internal/fleet/lifecycle"
 	"otterspring/internal/fleet/rollout"
 	"otterspring/internal/keytest"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 )
 
 var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures in testdata anew instead of comparing them")
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	f.Coordination.Host, f.Coordination.Zone = "h1", "a"
-	s, err := New(f, logs.New(io.Discard, logs.Options{}))
+	s, err := New(f, logging.New(io.Discard, logging.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 	t.Parallel()
 	settings := endpointlist.Settings{HeartbeatTimeout: time.Minute, StalenessLimit: time.Minute}
 	p := &endpointProxy{
-		supervisor: &Supervisor{log: logs.New(io.Discard, logs.Options{})},
+		supervisor: &Supervisor{log: logging.New(io.Discard, logging.Options{})},
 		lease:      endpointListLease("a"),
 		cache:      endpointlist.NewCache("source"),
 		watcher:    endpointlist.NewWatcher(settings, "h1", bootclock.Now()),
