--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -119,7 +119,7 @@
 
 // sendToSupervisor sends a request to the supervisor and prints its response.
 func sendToSupervisor(file *supervisor.File, out io.Writer, request ...string) error {
-	response, err := supervisor.Ask(file.Control, request...)
+	response, err := supervisor.SendCommand(file.Control, request...)
 	if err == nil {
 		_, err = io.WriteString(out, response)
 	}
@@ -150,7 +150,7 @@
 func waitForRoll(file *supervisor.File, out io.Writer) error {
 	printed := ""
 	for {
-		status, err := supervisor.Ask(file.Control, "status")
+		status, err := supervisor.SendCommand(file.Control, "status")
 		if err != nil {
 			return err
 		}
--- a/cmd/otterspring/fleet_everywhere.go
+++ b/cmd/otterspring/fleet_everywhere.go
@@ -27,14 +27,14 @@
 func rollEverywhere(ctx context.Context, file *supervisor.File, flags rollFlags, instances []string, out io.Writer) error {
 	request := flags.request
 	switch {
-	case file.Council.Name == "":
+	case file.Coordination.Name == "":
 		return fmt.Errorf("%s: found no [council], wanted one for -everywhere", file.Path)
 	case len(instances) > 0:
 		return fmt.Errorf("%w: -everywhere: found %q, wanted nothing behind the file", errUsage, instances[0])
 	case request.MaxConcurrent < 1 || request.MaxConcurrent > maxConcurrentRoll || request.MaxConcurrentPerZone < 0:
 		return fmt.Errorf("%w: -everywhere: found -at-once %d and -zone-at-once %d, wanted 1 to %d, and 0 or more", errUsage, request.MaxConcurrent, request.MaxConcurrentPerZone, maxConcurrentRoll)
 	}
-	cluster := client.NewClient(file.Council.Name, file.Council.Members)
+	cluster := client.NewClient(file.Coordination.Name, file.Coordination.Members)
 	defer cluster.Close()
 	id, err := requestRoll(ctx, cluster, request)
 	if err != nil {
@@ -56,7 +56,7 @@
 	id = fmt.Sprintf("r%08x", rand.Uint32())
 	for {
 		attemptCtx, cancel := context.WithTimeout(ctx, operationTimeout)
-		response, err := cluster.Do(attemptCtx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.Duty, Data: data})
+		response, err := cluster.Do(attemptCtx, client.Request{Kind: client.RequestOperation, OperationID: id, Lease: supervisor.RolloutLease, Data: data})
 		cancel()
 		switch {
 		case errors.Is(err, client.ErrUnknownOutcome):
@@ -108,7 +108,7 @@
 // operationProgress returns the progress in the lease holder's checkpoint; empty where
 // the checkpoint is of another operation.
 func operationProgress(state *coordination.State, id string) string {
-	lease := state.Leases[supervisor.Duty]
+	lease := state.Leases[supervisor.RolloutLease]
 	if lease == nil || lease.Checkpoint == nil {
 		return ""
 	}
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -44,8 +44,8 @@
 	dir := filepath.ToSlash(filepath.Dir(file))
 	more := map[string][]string{
 		"balance":                          {"./internal/lab/mutant"},
-		"internal/httpupstream":            {"./internal/sidecar", "./internal/sidecar/entrypoint"},
-		"internal/httpfront":               {"./internal/sidecar", "./internal/sidecar/entrypoint"},
+		"internal/sidecar/httpupstream":    {"./internal/sidecar", "./internal/sidecar/entrypoint"},
+		"internal/sidecar/httpserver":      {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery":       {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/fleet/endpointlist":      {"./internal/fleet/supervisor"},
 		"internal/coap/exchange":           {"./internal/coap/gate"},
--- a/internal/sidecar/liveconfig.go
+++ b/internal/sidecar/liveconfig.go
@@ -9,8 +9,8 @@
 
 	"otterspring/balance"
 	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/sidecar/configclient"
 	"otterspring/internal/sidecar/operatorconfig"
-	"otterspring/internal/subscription"
 )
 
 // liveSettings applies the configuration of services to a running sidecar. It is used by
@@ -23,7 +23,7 @@
 
 // newConfigClient returns the client that subscribes to the services of the operator's
 // file and applies their configuration with reconfigure.
-func newConfigClient(config *Config, section *operatorconfig.Configuration, reconfigure func([]balance.Class, []balance.Tenant) error) *subscription.Client {
+func newConfigClient(config *Config, section *operatorconfig.Configuration, reconfigure func([]balance.Class, []balance.Tenant) error) *configclient.Client {
 	live := &liveSettings{file: config.Settings, reconfigure: reconfigure}
 	for _, service := range section.Services {
 		live.services = append(live.services, serviceState{service: service})
@@ -32,11 +32,11 @@
 	if name == "" {
 		name = config.Name
 	}
-	settings := subscription.Settings{
+	settings := configclient.Settings{
 		Region: section.Region, Subscriber: name, Relays: section.Relays, Services: section.Services,
 		Seed: config.Seed ^ seedOf(name),
 	}
-	return subscription.New(settings, live.apply)
+	return configclient.New(settings, live.apply)
 }
 
 // seedOf returns a seed that differs between sidecars with the same one in their files.
