--- /dev/null
+++ b/internal/coapfront/format_test.go
@@ -0,0 +1,161 @@
+package coapfront
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+	"time"
+
+	"otterspring/internal/keytest"
+)
+
+// TestKeys guards the keys of the note's header.
+func TestKeys(t *testing.T) {
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{{Role: "header of the note of a stop", Encoding: "json", Value: note{}}})
+}
+
+// fixtureBoot stands in testdata/stop.note for the ID of the machine's start.
+const fixtureBoot = "00000000-0000-4000-8000-000000000000"
+
+func readFixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// withChecksum replaces the text in the body of a note and the checksum behind it.
+func withChecksum(t *testing.T, text, old, replacement []byte) []byte {
+	t.Helper()
+	const first = "otterspring coap note 1\n"
+	body, ok := bytes.CutPrefix(text, []byte(first))
+	if !ok || len(body) < sha256.Size || !bytes.Contains(body, old) {
+		t.Fatalf("found %.40q, wanted a note with %q", text, old)
+	}
+	body = bytes.Replace(body[:len(body)-sha256.Size], old, replacement, 1)
+	sum := sha256.Sum256(body)
+	return bytes.Join([][]byte{[]byte(first), body, sum[:]}, nil)
+}
+
+// TestNoteOfAnEarlierVersion reads the note that an earlier version left, and writes it
+// back with the same bytes, but for the time and the machine's start.
+func TestNoteOfAnEarlierVersion(t *testing.T) {
+	text := readFixture(t, "stop.note")
+	_, boot, err := sinceBoot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	n, err := readNote(withChecksum(t, text, []byte(fixtureBoot), []byte(boot)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if n.Boot != boot || n.AtMS != 2570462 || n.CleanMS != 0 || !bytes.HasPrefix(n.Table, []byte("otterspring coap exchanges 2\n")) {
+		t.Errorf("found boot %q, at %d, clean %d, table %.40q", n.Boot, n.AtMS, n.CleanMS, n.Table)
+	}
+	state := filepath.Join(t.TempDir(), "coap")
+	l, _, _, _, err := begin(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := l.end(n.Table, time.Duration(n.CleanMS)*time.Millisecond); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := regexp.MustCompile(`"at_ms":\d+`).Find(written)
+	written = withChecksum(t, written, at, []byte(`"at_ms":2570462`))
+	written = withChecksum(t, written, []byte(boot), []byte(fixtureBoot))
+	if !bytes.Equal(written, text) {
+		t.Errorf("found\n%q\nwanted\n%q", written, text)
+	}
+	if l, _, _, _, err = begin(state); err != nil {
+		t.Fatal(err)
+	}
+	if err := l.end(nil, 1500*time.Millisecond); err != nil {
+		t.Fatal(err)
+	}
+	if written, err = os.ReadFile(state); err != nil || !bytes.Contains(written, []byte(`,"clean_ms":1500}`+"\n")) {
+		t.Errorf("found %q, %v, wanted clean_ms 1500", written, err)
+	}
+}
+
+// TestMarkOfAnEarlierVersion recognizes the mark of a process of an earlier version, and
+// writes one of the same form.
+func TestMarkOfAnEarlierVersion(t *testing.T) {
+	form := regexp.MustCompile(`^otterspring coap running \d+ [0-9a-f]{32}\n$`)
+	text := readFixture(t, "running.mark")
+	state := filepath.Join(t.TempDir(), "coap")
+	if err := os.WriteFile(state, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, left, clean, why, err := begin(state)
+	if err != nil || left != nil || clean || why != "the process before was killed" {
+		t.Errorf("found %v, %v, %q, %v, wanted a process that was killed", left, clean, why, err)
+	}
+	written, err := os.ReadFile(state)
+	if err != nil || !form.Match(text) || !form.Match(written) {
+		t.Errorf("found %q and %q, %v, wanted %v", text, written, err, form)
+	}
+}
+
+// handoverState is the state that a process hands over, by its fields.
+type handoverState struct {
+	uncertainFor uint64
+	magic        string
+	key          string
+	entries      []handoverEntry
+}
+
+type handoverEntry struct {
+	hash   uint64
+	millis uint32
+	flags  byte
+}
+
+func parseHandover(t *testing.T, text []byte) handoverState {
+	t.Helper()
+	const magic, keySize, entrySize = 29, 16, 13
+	if size := len(text) - 8 - magic - keySize - sha256.Size; size < 0 || size%entrySize != 0 {
+		t.Fatalf("found %d bytes, wanted whole entries", len(text))
+	}
+	table, sum := text[8:len(text)-sha256.Size], text[len(text)-sha256.Size:]
+	if want := sha256.Sum256(table); !bytes.Equal(sum, want[:]) {
+		t.Fatal("found another checksum than that of the table")
+	}
+	state := handoverState{uncertainFor: binary.BigEndian.Uint64(text), magic: string(table[:magic]), key: string(table[magic : magic+keySize])}
+	for rest := table[magic+keySize:]; len(rest) > 0; rest = rest[entrySize:] {
+		state.entries = append(state.entries, handoverEntry{binary.BigEndian.Uint64(rest), binary.BigEndian.Uint32(rest[8:]), rest[12]})
+	}
+	return state
+}
+
+// TestHandoverStateOfAnEarlierVersion takes the state that a process of an earlier
+// version has handed over, and hands the same one on.
+func TestHandoverStateOfAnEarlierVersion(t *testing.T) {
+	text := readFixture(t, "handover.state")
+	up := &upstream{ran: map[string]int{}, delay: func() time.Duration { return 0 }}
+	old := start(t, up, nil)
+	conn := sameSocket(t, old)
+	heir := start(t, up, func(s *Settings) {
+		s.Listen, s.Conn, s.Gate.Clean, s.Gate.Limits.Settled = old.Addr(), conn, false, 16
+	})
+	old.Give()
+	heir.Inherit(text)
+	got, want := parseHandover(t, heir.Give()), parseHandover(t, text)
+	if got.uncertainFor != want.uncertainFor || got.magic != want.magic || got.key != want.key || len(got.entries) != 1 || len(want.entries) != 1 {
+		t.Fatalf("found %+v, wanted %+v", got, want)
+	}
+	g, w := got.entries[0], want.entries[0]
+	// The rest of the lifetime runs on, and is kept by generations.
+	if g.hash != w.hash || g.flags != w.flags || g.millis+60_000 < w.millis || g.millis > 2*w.millis {
+		t.Errorf("found %+v, wanted %+v", g, w)
+	}
+}
