--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -93,8 +93,8 @@
 	{Name: "late-is-good", File: "balance/balance.go", Breaks: "a request waits past its aim up to its deadline",
 		Old: "if r.class.LateWorth > 0 {", New: "if r.class.Deadline > 0 {"},
 
-	{Name: "acks-unwaited", File: "internal/coapfront/front.go", Breaks: "a drain ends though answers over CoAP wait for their acknowledgement",
-		Old: "unacked = f.gate.Unacked()", New: "unacked = 0"},
+	{Name: "acks-unwaited", File: "internal/sidecar/coapserver/server.go", Breaks: "a drain ends though answers over CoAP wait for their acknowledgement",
+		Old: "unacknowledged = s.protocol.Unacked()", New: "unacknowledged = 0"},
 
 	// Supervisors.
 	{Name: "start-unwritten", Played: betweenKill, File: "internal/fleet/supervisor/adoption.go", Breaks: "a supervisor killed between a start and its note leaves an instance that nobody owns",
@@ -379,14 +379,14 @@
 		Old: "p.ends = max(p.ends, (ends/s.span+1)*s.span)", New: "p.ends = max(p.ends, ends-2*s.span)"},
 	{Name: "ids-again", File: "internal/coap/exchange/client.go", Breaks: "a message ID comes again while its message may be repeated",
 		Old: "\t\ts.laps[next/chunkIDs], s.last = max(now, 1), now\n", New: "\t\ts.last = now\n"},
-	{Name: "heir-trusts", File: "internal/coapfront/front.go", Breaks: "a process that takes over without a table trusts that nothing ran",
-		Old: "\tif err != nil {\n\t\tf.gate.Distrust(f.now())\n", New: "\tif err != nil {\n"},
+	{Name: "heir-trusts", File: "internal/sidecar/coapserver/handover.go", Breaks: "a process that takes over without a table trusts that nothing ran",
+		Old: "\tif err != nil {\n\t\ts.protocol.Distrust(s.now())\n", New: "\tif err != nil {\n"},
 	{Name: "open-elsewhere", File: "internal/coap/exchange/server.go", Breaks: "a repeat of what the process before still answers is told that it may have run",
 		Old: "if len(s.elsewhere) > 0 && s.elsewhere[s.old.hash(k)] {", New: "if len(s.elsewhere) > 1<<30 {"},
-	{Name: "note-of-both", File: "internal/coapfront/note.go", Breaks: "a process leaves a note though another has begun with its file",
-		Old: "err != nil || string(text) != l.mark {", New: "err != nil || len(text) == 0 {"},
-	{Name: "note-ahead", File: "internal/coapfront/front.go", Breaks: "a datagram runs after the note was left",
-		Old: "\t\tif f.over {\n", New: "\t\tif f.over && n == 0 {\n",
+	{Name: "note-of-both", File: "internal/sidecar/coapserver/statefile.go", Breaks: "a process leaves a note though another has begun with its file",
+		Old: "if string(text) != f.marker {", New: "if len(text) == 0 {"},
+	{Name: "note-ahead", File: "internal/sidecar/coapserver/server.go", Breaks: "a datagram runs after the note was left",
+		Old: "\t\tif s.paused {\n", New: "\t\tif s.paused && n == 0 {\n",
 		Unseen: "the moment between the close of the socket and the note is some microseconds"},
 
 	// The lab's own: what a rig must not do itself.
--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"strings"
 
-	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
+	"otterspring/internal/sidecar/coapserver"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/httpserver"
 	"otterspring/internal/sidecar/httpupstream"
@@ -25,7 +25,7 @@
 		}
 		return httpPool.Open, nil, nil
 	}
-	coapPool := coapupstream.New(coapfront.ServersFromOperator(section, config.Seed), upstreamSockets(config.Sockets)/2)
+	coapPool := coapupstream.New(coapserver.UpstreamSettings(section, config.Seed), upstreamSockets(config.Sockets)/2)
 	return func(address string, startedMillis int64) dispatch.Upstream {
 		if rest, ok := strings.CutPrefix(address, coapupstream.Scheme); ok {
 			return coapPool.Open(rest, startedMillis)
@@ -45,10 +45,10 @@
 		}
 		return nil
 	}
-	settings := coapfront.FromOperator(options.CoAP, s.config.Settings.Classes, httpserver.DeadlineSlack, s.config.Seed, s.httpServer.Budget())
+	settings := coapserver.SettingsFromOperator(options.CoAP, s.config.Settings.Classes, httpserver.DeadlineSlack, s.config.Seed, s.httpServer.Budget())
 	settings.Conn = options.CoAPSocket
 	var err error
-	s.coapServer, err = coapfront.Listen(settings, s.dispatcher)
+	s.coapServer, err = coapserver.Listen(settings, s.dispatcher)
 	return err
 }
 
@@ -66,10 +66,10 @@
 	switch {
 	case s.coapServer == nil:
 	case on:
-		s.coapServer.Refuse()
+		s.coapServer.Drain()
 	default:
 		s.coapServer.Resume()
-		s.coapServer.TakeBack()
+		s.coapServer.Reclaim()
 	}
 }
 
@@ -79,7 +79,7 @@
 	if s.coapServer == nil {
 		return 0, 0
 	}
-	return s.coapServer.Open()
+	return s.coapServer.Pending()
 }
 
 // coapIdle reports whether a drain has nothing to wait for over CoAP.
--- a/internal/coapfront/format_test.go
+++ b/internal/sidecar/coapserver/format_test.go
@@ -1,9 +1,10 @@
-package coapfront
+package coapserver
 
 import (
 	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
+	"errors"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -13,9 +14,9 @@
 	"otterspring/internal/keytest"
 )
 
-// TestKeys guards the keys of the note's header.
+// TestKeys guards the keys of the shutdown record's header.
 func TestKeys(t *testing.T) {
-	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{{Role: "header of the note of a stop", Encoding: "json", Value: note{}}})
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{{Role: "header of the note of a stop", Encoding: "json", Value: shutdownRecord{}}})
 }
 
 // fixtureBoot stands in testdata/stop.note for the ID of the machine's start.
@@ -30,40 +31,40 @@
 	return text
 }
 
-// withChecksum replaces the text in the body of a note and the checksum behind it.
+// withChecksum replaces the text in the body of a record and the checksum behind it.
 func withChecksum(t *testing.T, text, old, replacement []byte) []byte {
 	t.Helper()
 	const first = "otterspring coap note 1\n"
 	body, ok := bytes.CutPrefix(text, []byte(first))
 	if !ok || len(body) < sha256.Size || !bytes.Contains(body, old) {
-		t.Fatalf("found %.40q, wanted a note with %q", text, old)
+		t.Fatalf("found %.40q, wanted a record with %q", text, old)
 	}
 	body = bytes.Replace(body[:len(body)-sha256.Size], old, replacement, 1)
 	sum := sha256.Sum256(body)
 	return bytes.Join([][]byte{[]byte(first), body, sum[:]}, nil)
 }
 
-// TestNoteOfAnEarlierVersion reads the note that an earlier version left, and writes it
+// TestShutdownRecordOfAnEarlierVersion reads the record that an earlier version left, and writes it
 // back with the same bytes, but for the time and the machine's start.
-func TestNoteOfAnEarlierVersion(t *testing.T) {
+func TestShutdownRecordOfAnEarlierVersion(t *testing.T) {
 	text := readFixture(t, "stop.note")
-	_, boot, err := sinceBoot()
+	_, boot, err := bootClock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := readNote(withChecksum(t, text, []byte(fixtureBoot), []byte(boot)))
+	n, err := parseRecord(withChecksum(t, text, []byte(fixtureBoot), []byte(boot)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Boot != boot || n.AtMS != 2570462 || n.CleanMS != 0 || !bytes.HasPrefix(n.Table, []byte("otterspring coap exchanges 2\n")) {
-		t.Errorf("found boot %q, at %d, clean %d, table %.40q", n.Boot, n.AtMS, n.CleanMS, n.Table)
+	if n.BootID != boot || n.SavedAtMillis != 2570462 || n.UncertainMillis != 0 || !bytes.HasPrefix(n.Table, []byte("otterspring coap exchanges 2\n")) {
+		t.Errorf("found boot %q, at %d, clean %d, table %.40q", n.BootID, n.SavedAtMillis, n.UncertainMillis, n.Table)
 	}
 	state := filepath.Join(t.TempDir(), "coap")
-	l, _, _, _, err := begin(state)
+	file, _, err := openStateFile(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.end(n.Table, time.Duration(n.CleanMS)*time.Millisecond); err != nil {
+	if err := file.save(n.Table, time.Duration(n.UncertainMillis)*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(state)
@@ -76,10 +77,10 @@
 	if !bytes.Equal(written, text) {
 		t.Errorf("found\n%q\nwanted\n%q", written, text)
 	}
-	if l, _, _, _, err = begin(state); err != nil {
+	if file, _, err = openStateFile(state); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.end(nil, 1500*time.Millisecond); err != nil {
+	if err := file.save(nil, 1500*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	if written, err = os.ReadFile(state); err != nil || !bytes.Contains(written, []byte(`,"clean_ms":1500}`+"\n")) {
@@ -87,18 +88,18 @@
 	}
 }
 
-// TestMarkOfAnEarlierVersion recognizes the mark of a process of an earlier version, and
+// TestMarkerOfAnEarlierVersion recognizes the marker of a process of an earlier version, and
 // writes one of the same form.
-func TestMarkOfAnEarlierVersion(t *testing.T) {
+func TestMarkerOfAnEarlierVersion(t *testing.T) {
 	form := regexp.MustCompile(`^otterspring coap running \d+ [0-9a-f]{32}\n$`)
 	text := readFixture(t, "running.mark")
 	state := filepath.Join(t.TempDir(), "coap")
 	if err := os.WriteFile(state, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, left, clean, why, err := begin(state)
-	if err != nil || left != nil || clean || why != "the process before was killed" {
-		t.Errorf("found %v, %v, %q, %v, wanted a process that was killed", left, clean, why, err)
+	_, previous, err := openStateFile(state)
+	if err != nil || previous.record != nil || !errors.Is(previous.unknown, errCrashed) {
+		t.Errorf("found %v, %v, %v, wanted %v", previous.record, previous.unknown, err, errCrashed)
 	}
 	written, err := os.ReadFile(state)
 	if err != nil || !form.Match(text) || !form.Match(written) {
@@ -142,14 +143,14 @@
 func TestHandoverStateOfAnEarlierVersion(t *testing.T) {
 	text := readFixture(t, "handover.state")
 	up := &upstream{ran: map[string]int{}, delay: func() time.Duration { return 0 }}
-	old := start(t, up, nil)
-	conn := sameSocket(t, old)
-	heir := start(t, up, func(s *Settings) {
-		s.Listen, s.Conn, s.Gate.Clean, s.Gate.Limits.Settled = old.Addr(), conn, false, 16
+	predecessor := start(t, up, nil)
+	conn := sameSocket(t, predecessor)
+	successor := start(t, up, func(s *Settings) {
+		s.Listen, s.Conn, s.Protocol.Clean, s.Protocol.Limits.Settled = predecessor.Addr(), conn, false, 16
 	})
-	old.Give()
-	heir.Inherit(text)
-	got, want := parseHandover(t, heir.Give()), parseHandover(t, text)
+	predecessor.HandOver()
+	successor.Inherit(text)
+	got, want := parseHandover(t, successor.HandOver()), parseHandover(t, text)
 	if got.uncertainFor != want.uncertainFor || got.magic != want.magic || got.key != want.key || len(got.entries) != 1 || len(want.entries) != 1 {
 		t.Fatalf("found %+v, wanted %+v", got, want)
 	}
--- a/internal/coapfront/front_test.go
+++ b/internal/sidecar/coapserver/server_test.go
@@ -1,4 +1,4 @@
-package coapfront
+package coapserver
 
 import (
 	"context"
@@ -23,13 +23,13 @@
 
 const patience = 60 * time.Second
 
-// upstream is a call server of no protocol: it answers each attempt after a
-// while with what it was asked, and counts what ran.
+// upstream runs attempts without a protocol: it answers each after a delay, and counts
+// how often each request ran.
 type upstream struct {
 	mu    sync.Mutex
 	ran   map[string]int
 	delay func() time.Duration
-	body  []byte // of every answer; nil for the request's id
+	body  []byte // of every answer; nil for the request ID
 }
 
 type response []byte
@@ -61,23 +61,23 @@
 func (u *upstream) CloseIdle() {}
 func (u *upstream) Retire()    {}
 
-func start(t *testing.T, up *upstream, change func(*Settings)) *Front {
+func start(t *testing.T, up *upstream, change func(*Settings)) *Server {
 	t.Helper()
 	classes := []balance.Class{
 		{Name: "roster", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 3, Effect: balance.Repeat},
 		{Name: "start-rec", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 5, Effect: balance.Once},
 	}
-	eng, err := dispatch.New(dispatch.Settings{
+	dispatcher, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{MaxAttempts: 3, Classes: classes, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond}, Seed: 1, DialTimeout: time.Second,
 		OpenUpstream: func(string, int64) dispatch.Upstream { return up },
 	}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 1, Snapshot: true, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s1", State: balance.Ready}, Address: "127.0.0.1:1"}}}, 0)
+	dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 1, Snapshot: true, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s1", State: balance.Ready}, Address: "127.0.0.1:1"}}}, 0)
 	p := exchange.Defaults()
 	p.AckTimeout, p.AckAfter = 200*time.Millisecond, 50*time.Millisecond
-	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Gate: gate.Settings{
+	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Protocol: gate.Settings{
 		Params: p, Limits: exchange.Limits{Open: 256, Kept: 4096, KeptBytes: 1 << 20},
 		Blocks:  block.Limits{Transfers: 16, Body: 64 << 10, Bytes: 1 << 20, Idle: patience, Size: 1024},
 		Classes: map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: gate.Once, Deadline: 30 * time.Second}},
@@ -88,7 +88,7 @@
 	if change != nil {
 		change(&set)
 	}
-	f, err := Listen(set, eng)
+	f, err := Listen(set, dispatcher)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,14 +98,11 @@
 	return f
 }
 
-func dial(t *testing.T, to string, change func(*coapclient.Config)) *coapclient.Client {
+func dial(t *testing.T, to string) *coapclient.Client {
 	t.Helper()
 	p := exchange.Defaults()
 	p.AckTimeout, p.AckAfter, p.NStart = 200*time.Millisecond, 50*time.Millisecond, 64
 	cfg := coapclient.Config{Server: to, Params: p, Seed: rand.Uint64()}
-	if change != nil {
-		change(&cfg)
-	}
 	c, err := coapclient.Dial(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +113,7 @@
 
 func coapRequest(code message.Code, path, id string) message.Message {
 	m := message.Message{Type: message.Confirmable, Code: code}
-	for _, p := range strings.Split(path, "/") {
+	for p := range strings.SplitSeq(path, "/") {
 		m.Add(message.URIPath, []byte(p))
 	}
 	if id != "" {
@@ -125,15 +122,16 @@
 	return m
 }
 
-func ctx(t *testing.T) context.Context {
-	c, cancel := context.WithTimeout(context.Background(), patience)
+func requestContext(t *testing.T) context.Context {
+	t.Helper()
+	c, cancel := context.WithTimeout(t.Context(), patience)
 	t.Cleanup(cancel)
 	return c
 }
 
-// Every third datagram is lost, and others come twice and out of order: each
-// request is answered once, with its own answer, and none runs twice. Answers
-// come with the acknowledgement and by themselves.
+// Every third datagram is lost, others are duplicated and reordered: each request is
+// answered once, with its own response, and none runs twice. Responses are piggybacked
+// and separate.
 func TestEveryThirdDatagramIsLost(t *testing.T) {
 	t.Parallel()
 	const seed = 5
@@ -154,7 +152,7 @@
 	var wg sync.WaitGroup
 	lost := 0
 	for n := range 5 {
-		c := dial(t, link.Addr().String(), nil)
+		c := dial(t, link.Addr().String())
 		for i := range 20 {
 			wg.Go(func() {
 				id := fmt.Sprintf("c%d-%d", n, i)
@@ -162,12 +160,12 @@
 				if i%3 == 0 {
 					code, path = message.GET, "roster/7"
 				}
-				r, err := c.Do(ctx(t), coapRequest(code, path, id), nil)
+				r, err := c.Do(requestContext(t), coapRequest(code, path, id), nil)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
-					lost++ // five of five on a third: nothing is known then
+					lost++ // all retransmissions were lost
 				case r.Code.Class() != 2 || string(r.Payload) != id:
 					t.Errorf("%s: answered %v %q", id, r.Code, r.Payload)
 				}
@@ -185,22 +183,22 @@
 	if lost > 20 || c.DedupHits == 0 {
 		t.Errorf("%d of 100 without an answer, %d repeats met", lost, c.DedupHits)
 	}
-	if n := openOf(f); n != 0 {
-		t.Errorf("%d are open", n)
+	if n := pendingOf(f); n != 0 {
+		t.Errorf("%d are pending", n)
 	}
 }
 
-// A repeat that comes by another port, as behind a router that forgot, is known
-// by its request's id: it does not run again.
+// A retry from another port, as after a NAT rebinding, is recognized by its request ID
+// and does not run again.
 func TestRepeatFromAnotherPort(t *testing.T) {
 	t.Parallel()
 	up := &upstream{ran: map[string]int{}, delay: func() time.Duration { return 0 }}
 	f := start(t, up, nil)
-	one, two := dial(t, f.Addr(), nil), dial(t, f.Addr(), nil)
-	if r, err := one.Exchange(ctx(t), coapRequest(message.POST, "start-rec", "same")); err != nil || r.Code != message.Changed {
+	one, two := dial(t, f.Addr()), dial(t, f.Addr())
+	if r, err := one.Exchange(requestContext(t), coapRequest(message.POST, "start-rec", "same")); err != nil || r.Code != message.Changed {
 		t.Fatal(r.Code, err)
 	}
-	if r, err := two.Exchange(ctx(t), coapRequest(message.POST, "start-rec", "same")); err != nil || r.Code != message.Conflict {
+	if r, err := two.Exchange(requestContext(t), coapRequest(message.POST, "start-rec", "same")); err != nil || r.Code != message.Conflict {
 		t.Errorf("from another port: %v %v", r.Code, err)
 	}
 	if up.counts()["same"] != 1 {
@@ -208,7 +206,7 @@
 	}
 }
 
-// 64 KiB there and back in blocks, over a link that loses.
+// 64 KiB in each direction by block-wise transfer over a lossy link.
 func TestLargeBodiesOverALossyLink(t *testing.T) {
 	t.Parallel()
 	body := make([]byte, 64<<10)
@@ -222,49 +220,49 @@
 		t.Fatal(err)
 	}
 	defer link.Close()
-	c := dial(t, link.Addr().String(), nil)
-	r, err := c.Do(ctx(t), coapRequest(message.POST, "start-rec", "large"), body)
+	c := dial(t, link.Addr().String())
+	r, err := c.Do(requestContext(t), coapRequest(message.POST, "start-rec", "large"), body)
 	if err != nil || r.Code != message.Changed || string(r.Payload) != string(body) {
 		t.Errorf("%v, %d bytes, %v", r.Code, len(r.Payload), err)
 	}
 	if err != nil {
 		n, _ := f.Counts()
 		passed, dropped, _ := link.Counts()
-		t.Logf("front %+v, client %+v, link %d and %d", n, c.Counts(), passed, dropped)
+		t.Logf("server %+v, client %+v, link %d and %d", n, c.Counts(), passed, dropped)
 	}
 	if up.counts()["large"] != 1 {
 		t.Errorf("it ran %d times", up.counts()["large"])
 	}
 }
 
-// A drain answers what is open and turns away what comes; a
-// request without an id has one made for it.
+// A drain answers pending requests and rejects new ones. A request without an ID is given
+// one.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	up := &upstream{ran: map[string]int{}, delay: func() time.Duration { <-hold; return 0 }}
 	f := start(t, up, nil)
-	c := dial(t, f.Addr(), nil)
+	c := dial(t, f.Addr())
 	got := make(chan message.Message, 1)
 	go func() {
-		r, _ := c.Exchange(ctx(t), coapRequest(message.POST, "start-rec", ""))
+		r, _ := c.Exchange(requestContext(t), coapRequest(message.POST, "start-rec", ""))
 		got <- r
 	}()
-	for end := time.Now().Add(patience); openOf(f) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); pendingOf(f) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never asked")
+			t.Fatal("the request was never submitted")
 		}
 	}
-	f.Refuse()
-	if r, err := c.Exchange(ctx(t), coapRequest(message.POST, "start-rec", "late")); err != nil || r.Code != message.ServiceUnavailable {
+	f.Drain()
+	if r, err := c.Exchange(requestContext(t), coapRequest(message.POST, "start-rec", "late")); err != nil || r.Code != message.ServiceUnavailable {
 		t.Errorf("in the drain: %v %v", r.Code, err)
 	}
 	close(hold)
 	if r := <-got; r.Code != message.Changed || !strings.HasPrefix(string(r.Payload), "coap-") {
-		t.Errorf("what was open: %v %q", r.Code, r.Payload)
+		t.Errorf("the pending request: %v %q", r.Code, r.Payload)
 	}
-	if n := openOf(f); n != 0 {
-		t.Errorf("%d are open after their answers", n)
+	if n := pendingOf(f); n != 0 {
+		t.Errorf("%d are pending after their answers", n)
 	}
 }
 
@@ -276,8 +274,8 @@
 	}
 }
 
-// openOf is how many requests have no answer yet.
-func openOf(f *Front) int {
-	n, _ := f.Open()
+// pendingOf returns how many requests have no answer yet.
+func pendingOf(f *Server) int {
+	n, _ := f.Pending()
 	return n
 }
--- /dev/null
+++ b/internal/sidecar/coapserver/settings.go
@@ -0,0 +1,92 @@
+package coapserver
+
+import (
+	"crypto/rand"
+	"net"
+	"net/netip"
+	"time"
+
+	"otterspring/balance"
+	"otterspring/internal/coap/block"
+	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/exchange"
+	"otterspring/internal/coap/gate"
+	"otterspring/internal/sidecar/dispatch"
+	"otterspring/internal/sidecar/operatorconfig"
+)
+
+const (
+	// blockTransferIdle is how long a block transfer may pause: as long as a message may
+	// be retransmitted (RFC 7252, section 4.8.2: MAX_TRANSMIT_WAIT).
+	blockTransferIdle = 93 * time.Second
+	// blockSize is the payload of a block in bytes.
+	blockSize = 1024
+	// echoLifetime is how long an Echo value of this server is fresh.
+	echoLifetime = 10 * time.Minute
+	// upstreamEchoLifetime is how long an upstream's Echo value is used: less than
+	// servers accept one, so that a new value is fetched ahead of a failure.
+	upstreamEchoLifetime = 10 * time.Second
+	// maxUpstreamRequests bounds the requests in flight to one upstream.
+	maxUpstreamRequests = 1024
+	echoKeyBytes        = 32
+	// ackDelayDivisor gives the delay of a separate acknowledgement as a part of
+	// ACK_TIMEOUT.
+	ackDelayDivisor = 4
+	// The seeds of server and upstreams differ, so that their message IDs do.
+	serverSeedMask   = 0x636f6170
+	upstreamSeedMask = 0x636c6e74
+)
+
+// Settings are a server's bounds and what it is connected to.
+type Settings struct {
+	Listen   string // IP address of one machine, and a port; never multicast
+	Protocol gate.Settings
+	Bodies   *dispatch.Budget // memory of request bodies, shared with other servers
+	// StatePath is the file in which a process saves the state that its successor
+	// needs; empty for none. With it Protocol.Clean is set by what the file holds.
+	StatePath string
+	// Conn is the socket of a predecessor, nil to open one. Nothing is received on it
+	// before Inherit or PredecessorEnded.
+	Conn *net.UDPConn
+}
+
+// UpstreamSettings returns the settings for upstreams over CoAP.
+func UpstreamSettings(operator *operatorconfig.CoAP, seed uint64) caller.Settings {
+	params := exchange.Defaults()
+	params.AckTimeout = operator.AckTimeout
+	params.AckAfter = params.AckTimeout / ackDelayDivisor
+	return caller.Settings{
+		Params: params, Limits: exchange.ClientLimits{Open: maxUpstreamRequests, Heard: maxUpstreamRequests}, Body: dispatch.MaxBodySize,
+		Block: blockSize, EchoFor: upstreamEchoLifetime, Seed: seed ^ upstreamSeedMask,
+	}
+}
+
+// SettingsFromOperator returns the settings that the operator's file gives, for the
+// classes of the platform. maxDeadlineRatio bounds a request's own deadline as a multiple
+// of its class's.
+func SettingsFromOperator(operator *operatorconfig.CoAP, classes []balance.Class, maxDeadlineRatio float64, seed uint64, bodies *dispatch.Budget) Settings {
+	key := make([]byte, echoKeyBytes)
+	rand.Read(key) // never fails
+	effects := map[balance.Effect]gate.Effect{balance.Repeat: gate.Repeat, balance.Keyed: gate.Keyed, balance.Once: gate.Once}
+	protocolClasses := map[string]gate.Class{}
+	for _, class := range classes {
+		protocolClasses[class.Name] = gate.Class{Effect: effects[class.Effect], Deadline: class.Deadline}
+	}
+	var trusted []netip.Prefix
+	for _, network := range operator.TrustedNetworks {
+		trusted = append(trusted, network.Prefix)
+	}
+	return Settings{Listen: operator.Listen, Bodies: bodies, StatePath: operator.StatePath, Protocol: gate.Settings{
+		Params: exchange.Defaults(),
+		Limits: exchange.Limits{
+			Open: operator.MaxPendingRequests, Kept: operator.MaxDedupEntries, KeptBytes: int(operator.MaxDedupBytes),
+			Settled: operator.MaxCompletedUnsafe,
+		},
+		Blocks: block.Limits{
+			Transfers: operator.MaxTransfers, Body: dispatch.MaxBodySize, Bytes: int(operator.MaxTransferBytes),
+			Idle: blockTransferIdle, Size: blockSize,
+		},
+		Classes: protocolClasses, DeadlineTimes: maxDeadlineRatio, Observers: operator.MaxObservers, ObserveEvery: operator.ObserveInterval,
+		Trusted: trusted, Clean: operator.FirstRun, EchoKey: key, EchoAge: echoLifetime, Seed: seed ^ serverSeedMask,
+	}}
+}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -56,7 +56,7 @@
 	if s.coapServer == nil {
 		return nil
 	}
-	return s.coapServer.Give()
+	return s.coapServer.HandOver()
 }
 
 // InheritCoAP applies the state that the predecessor has returned from HandOverCoAP.
@@ -69,6 +69,6 @@
 // PredecessorEnded notes that the predecessor does not serve CoAP exchanges any more.
 func (s *Sidecar) PredecessorEnded() {
 	if s.coapServer != nil {
-		s.coapServer.Alone()
+		s.coapServer.PredecessorEnded()
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/coapfront"
 	"otterspring/internal/coapupstream"
+	"otterspring/internal/sidecar/coapserver"
 	"otterspring/internal/sidecar/configclient"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
@@ -41,7 +41,7 @@
 	dispatcher   *dispatch.Dispatcher
 	httpPool     *httpupstream.Pool
 	httpServer   *httpserver.Server
-	coapServer   *coapfront.Front // nil where it is off
+	coapServer   *coapserver.Server // nil where it is off
 	watcher      *discovery.Watcher
 	configClient *configclient.Client // nil where it is off
 	config       Config               // as last loaded; only Reload changes it
