--- a/internal/sidecar/handover/offer.go
+++ b/internal/sidecar/handover/offer.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterspring/internal/disk"
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/unixsocket"
 )
 
@@ -24,10 +24,14 @@
 // Source is the state of an offering process. Its methods are called by goroutines of
 // the Offer.
 type Source interface {
+	// Listener returns the listening socket.
 	Listener() *net.TCPListener
-	Packets() *net.UDPConn // of CoAP; nil for none
-	Held() []byte          // the endpoint list
-	Hear([]byte)           // applies an endpoint list that the other process received
+	// CoAPSocket returns the socket of the CoAP server, nil for none.
+	CoAPSocket() *net.UDPConn
+	// EndpointList returns the current list, in discovery's form.
+	EndpointList() []byte
+	// ApplyEndpointList applies a list that the other process received, if it is newer.
+	ApplyEndpointList(list []byte)
 }
 
 // Offer offers a listener at a path, to one process at a time. It has a goroutine that
@@ -166,11 +170,11 @@
 	if err := setTimeout(conn, o.stepTimeout); err != nil {
 		return err
 	}
-	inject.At("handover-gives")
+	faultinjection.At("handover-gives")
 	if err := o.sendState(conn); err != nil {
 		return err
 	}
-	inject.At("handover-gave")
+	faultinjection.At("handover-gave")
 	for _, step := range []struct{ receive, reply, point string }{{lineReady, lineYours, "handover-let"}, {lineTaken, lineAgreed, "handover-agreed"}} {
 		line, err := readLine(reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -185,22 +189,22 @@
 		if _, err := io.WriteString(conn, step.reply+"\n"); err != nil {
 			return fmt.Errorf("the new process exited: %w", err)
 		}
-		inject.At(step.point)
+		faultinjection.At(step.point)
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		slog.Debug("handover connection has ended", "error", err)
 	}
 	successor := &Successor{conn: conn, disconnected: make(chan struct{})}
-	go successor.receive(reader, o.source.Hear)
+	go successor.receive(reader, o.source.ApplyEndpointList)
 	o.successors <- successor
 	return nil
 }
 
 // sendState sends the descriptors and the endpoint list.
 func (o *Offer) sendState(conn *net.UnixConn) error {
-	list := o.source.Held()
+	list := o.source.EndpointList()
 	announcement := fmt.Appendf(nil, "%s%d\n", lineGive, len(list))
-	if err := sendWithDescriptors(conn, announcement, o.source.Listener(), o.source.Packets()); err != nil {
+	if err := sendWithDescriptors(conn, announcement, o.source.Listener(), o.source.CoAPSocket()); err != nil {
 		return fmt.Errorf("sending the listener: %w", err)
 	}
 	if _, err := conn.Write(list); err != nil {
