--- /dev/null
+++ b/internal/lab/scale/format_test.go
@@ -0,0 +1,60 @@
+package scale
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"otterspring/internal/keytest"
+)
+
+// The keys of orders to hollow processes and of what is read of a relay are fixed.
+func TestKeysOfOrdersAndRelayInfo(t *testing.T) {
+	t.Parallel()
+	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
+		{Role: "order to a process of subscribers", Encoding: "json", Value: Order{}},
+		{Role: "state of a relay", Encoding: "json", Value: relayInfo{}},
+	})
+}
+
+// The lines that a run and a sweep print last, and the others, keep their form: scripts
+// read them.
+func TestRecordedLines(t *testing.T) {
+	t.Parallel()
+	f := &Figures{
+		Seed: 1, Sidecars: 2, Real: 3, Processes: 4, MemoryBytes: 5 << 20, Changes: 6, InForceP50: 7 * time.Second, InForceP99: 8 * time.Second,
+		InForceMax: 9 * time.Second, RestartP50: 10 * time.Second, RestartP99: 11 * time.Second, Restarts: 12, Unreachable: 13, BackMax: 14 * time.Second,
+		Stale: 15, Back: 16, BackOver: 17, Lost: 18, Twice: 19, Unasked: 20, OlderAccepted: 21, BytesPerSidecar: 22, WorstBytes: 23, ProcessorShare: 24,
+		BytesOfMemoryPerSidecar: 25 << 10, RelayCoresPer1000: 26, CouncilCores: 27, SnapshotsAtOnce: 28, SnapshotsAllowed: 1, AcceptMax: 29 * time.Second,
+		Conflicts: 30, RequestsLost: 31, RequestsTwice: 32, RequestsAll: 33, IdleLeast: 0.34, PacerLate: 35 * time.Millisecond,
+		Used: map[Role]RoleUsage{RoleRelay: {BytesPerSecond: 36, Cores: 37, Memory: 38 << 20}}, Void: []string{"a reason"},
+	}
+	lines := append([]string{f.Line()}, f.Detail()...)
+	lines = append(lines, SweepLine([]*Figures{f, f}, []RoleFit{{Quantity: QuantityBytes, Prediction: Prediction{Predicted: 3, Measured: 2}}}))
+	fault := Fault{Kind: RelayCut, At: time.Second, For: 2 * time.Second, Relay: 3}
+	lines = append(lines, fault.String())
+	got := strings.Join(lines, "\n") + "\n"
+	want, err := os.ReadFile("testdata/lines.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("found\n%s\nwanted\n%s", got, want)
+	}
+}
+
+// A record of a hollow process has the same bytes as before.
+func TestRecordedReport(t *testing.T) {
+	t.Parallel()
+	report := Report{Kind: ReportApplied, Service: 0x0102, Subscriber: 0x03040506, Value: 0x0708090a0b0c0d0e, At: 0x0f10111213141516}
+	text := report.Append(nil)
+	if got, want := hex.EncodeToString(text), "040201060504030e0d0c0b0a090807161514131211100f"; got != want {
+		t.Errorf("found %s, wanted %s", got, want)
+	}
+	if back, err := ReadReport(bytes.NewReader(text)); err != nil || back != report {
+		t.Errorf("found %+v, %v, wanted %+v", back, err, report)
+	}
+}
