--- a/cmd/otterspring/config.go
+++ b/cmd/otterspring/config.go
@@ -9,7 +9,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,19 +20,21 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// errConflict is a change whose -if-version is not the version of the service.
+// errConflict is the failure of a change that is for another version than the service
+// has.
 var errConflict = errors.New("version conflict")
 
-// Times of the config command's requests to a cluster.
+// Bounds of a request of the config command.
 const (
-	configRequestTimeout = 10 * time.Second // of one attempt
-	configRetryDelay     = 50 * time.Millisecond
-	completionTimeout    = 2 * time.Second // of the service names for a shell
+	configAttemptTimeout = 10 * time.Second
+	configBackoff        = 50 * time.Millisecond
+	completionTimeout    = 2 * time.Second // of the names for a shell
+	defaultConfigTimeout = 30 * time.Second
 )
 
-// configOptions are the flags that all verbs of config share, and their output.
+// configOptions are the flags that all verbs of config share.
 type configOptions struct {
-	clusterPath string // of the cluster's file
+	clusterPath string // file of the cluster
 	asJSON      bool
 	timeout     time.Duration
 	out         io.Writer
@@ -42,25 +43,25 @@
 // configCommand is `otterspring config` with its verbs.
 func configCommand(out io.Writer) *cobra.Command {
 	options := &configOptions{out: out}
-	command := cli.Root("config", "change and read the settings of services, and see where they are in force",
+	command := cli.NewGroup("config", "change and read the settings of services, and show where they are in force",
 		"config changes the settings of a region's services in its council (docs/operate/configuration.md), from\n"+
-			"where relays bring them to all sidecars. Exit codes: 0 done, 1 refused or it could not be done, 2 usage,\n"+
-			"3 the service has another version than -if-version says.",
+			"where relays distribute them to all sidecars. Exit codes: 0 done, 1 rejected or it could not be done, 2 usage,\n"+
+			"3 the service has another version than -if-version.",
 		configPut(options), configGet(options), configList(options), configStatus(options))
 	flags := command.PersistentFlags()
 	flags.StringVar(&options.clusterPath, "council", "", "the council's file")
 	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object")
-	flags.DurationVar(&options.timeout, "timeout", 30*time.Second, "after which it could not be done")
+	flags.DurationVar(&options.timeout, "timeout", defaultConfigTimeout, "time limit of the command")
 	return command
 }
 
-// verb returns a verb of config that takes a number of arguments. run gets the cluster's
-// file, and a context that ends with -timeout.
-func (o *configOptions) verb(use, short string, argumentCount int, run func(ctx context.Context, cluster *server.Config, arguments []string) error) *cobra.Command {
+// verb returns a verb of config with a fixed number of arguments. Its context ends at
+// the time limit.
+func (o *configOptions) verb(use, short string, argCount int, run func(ctx context.Context, config *server.Config, args []string) error) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true}
-	command.RunE = func(_ *cobra.Command, arguments []string) error {
-		if len(arguments) != argumentCount {
-			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, command.Name(), plural(len(arguments), "word", "words"), use)
+	command.RunE = func(_ *cobra.Command, args []string) error {
+		if len(args) != argCount {
+			return fmt.Errorf("%w: config %s: found %s, wanted: %s", errUsage, command.Name(), plural(len(args), "word", "words"), use)
 		}
 		if o.clusterPath == "" {
 			return fmt.Errorf("%w: config %s: found no -council, wanted the council's file", errUsage, command.Name())
@@ -68,56 +69,57 @@
 		if o.timeout <= 0 {
 			return fmt.Errorf("%w: config %s: found -timeout %v, wanted more than 0", errUsage, command.Name(), o.timeout)
 		}
-		cluster, err := server.LoadConfig(o.clusterPath)
+		config, err := server.LoadConfig(o.clusterPath)
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
+		ctx, cancel := context.WithTimeout(command.Context(), o.timeout)
 		defer cancel()
-		return run(ctx, cluster, arguments)
+		return run(ctx, config, args)
 	}
 	return command
 }
 
 // serviceVerb returns a verb of config that takes the name of a service, which shells
 // complete.
-func (o *configOptions) serviceVerb(use, short string, run func(ctx context.Context, cluster *server.Config, service string) error) *cobra.Command {
-	command := o.verb(use, short, 1, func(ctx context.Context, cluster *server.Config, arguments []string) error {
-		return run(ctx, cluster, arguments[0])
+func (o *configOptions) serviceVerb(use, short string, run func(ctx context.Context, config *server.Config, service string) error) *cobra.Command {
+	command := o.verb(use, short, 1, func(ctx context.Context, config *server.Config, args []string) error {
+		return run(ctx, config, args[0])
 	})
-	command.ValidArgsFunction = func(_ *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
-		if len(arguments) > 0 {
+	command.ValidArgsFunction = func(c *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
+		if len(args) > 0 {
 			return nil, cobra.ShellCompDirectiveNoFileComp
 		}
-		return o.serviceNames(), cobra.ShellCompDirectiveNoFileComp
+		return o.serviceNames(c.Context()), cobra.ShellCompDirectiveNoFileComp
 	}
 	return command
 }
 
-// serviceNames returns the services of a cluster; none if it does not respond.
-func (o *configOptions) serviceNames() []string {
-	cluster, err := server.LoadConfig(o.clusterPath)
+// serviceNames returns the names of all services; none where the cluster does not
+// respond.
+func (o *configOptions) serviceNames(ctx context.Context) []string {
+	config, err := server.LoadConfig(o.clusterPath)
 	if err != nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
+	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
-	response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration})
+	response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration})
 	if err != nil {
 		return nil
 	}
 	return slices.Sorted(maps.Keys(response.Services))
 }
 
-// requestConfiguration sends an idempotent request to a cluster and retries it until
-// there is a response or ctx ends, also when its outcome is unknown. It returns
-// errConflict, the text of a rejection, or a *noResponseError.
-func requestConfiguration(ctx context.Context, cluster *server.Config, request client.Request) (*client.Response, error) {
-	caller := client.NewClient(cluster.Name, cluster.Addresses())
-	defer caller.Close()
+// requestConfiguration sends an idempotent request until the cluster answers it or ctx
+// ends, also where the outcome of an attempt is unknown. The error is errConflict, a
+// rejection or an unansweredError.
+func requestConfiguration(ctx context.Context, config *server.Config, request client.Request) (*client.Response, error) {
+	cluster := client.NewClient(config.Name, config.Addresses())
+	defer cluster.Close()
 	for {
-		attempt, cancel := context.WithTimeout(ctx, configRequestTimeout)
-		response, err := caller.Do(attempt, request)
+		attemptCtx, cancel := context.WithTimeout(ctx, configAttemptTimeout)
+		response, err := cluster.Do(attemptCtx, request)
 		cancel()
 		switch {
 		case err == nil && response.Conflict:
@@ -129,29 +131,29 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, &noResponseError{err}
-		case <-time.After(configRetryDelay):
+			return nil, &unansweredError{err}
+		case <-time.After(configBackoff):
 		}
 	}
 }
 
-// noResponseError is a request without a response within -timeout. It wraps the error of
-// the last attempt.
-type noResponseError struct{ attempt error }
+// unansweredError is the failure of a request without an answer within the time limit.
+// It wraps the error of the last attempt.
+type unansweredError struct{ cause error }
 
-func (e *noResponseError) Error() string { return e.attempt.Error() }
+func (e *unansweredError) Error() string { return e.cause.Error() }
 
-func (e *noResponseError) Unwrap() error { return e.attempt }
+func (e *unansweredError) Unwrap() error { return e.cause }
 
 // printJSON prints one JSON object, indented.
-func (o *configOptions) printJSON(value any) error {
+func (o *configOptions) printJSON(v any) error {
 	encoder := json.NewEncoder(o.out)
 	encoder.SetEscapeHTML(false)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(value)
+	return encoder.Encode(v)
 }
 
-// putResult is the output of put with -json.
+// putResult is what put prints with -json.
 type putResult struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -161,35 +163,42 @@
 // configPut changes a service's settings.
 func configPut(options *configOptions) *cobra.Command {
 	var ifVersion, id string
-	command := options.verb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, cluster *server.Config, arguments []string) error {
-		change, err := newChange(arguments[0], id, ifVersion)
+	command := options.verb("put [flags] FILE", "change the settings of a service to those of a file", 1, func(ctx context.Context, config *server.Config, args []string) error {
+		change, err := newChange(args[0], id, ifVersion)
 		if err != nil {
 			return err
 		}
-		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ChangeConfiguration, Change: change})
-		if _, ok := errors.AsType[*noResponseError](err); ok {
-			return fmt.Errorf("service %s: not known whether it was changed: %w; a retry with -id %s shows it, and changes it once at most", change.Service, err, change.ID)
-		}
+		result, err := putChange(ctx, config, change)
 		if err != nil {
 			return err
 		}
-		result := putResult{Service: change.Service, Version: response.Resource.Version.String(), ID: change.ID}
 		if options.asJSON {
 			return options.printJSON(result)
 		}
-		_, err = fmt.Fprintf(options.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
-		return err
+		return printf(options.out, "%s: version %s by change %s\n", result.Service, result.Version, result.ID)
 	})
 	command.Flags().StringVar(&ifVersion, "if-version", "", "the version that the service has to have, SPACE.NUMBER; 0 creates it; empty for any")
-	command.Flags().StringVar(&id, "id", "", "the change's id, to repeat one by hand: one id is applied once; empty for a new one")
+	command.Flags().StringVar(&id, "id", "", "the change's id, to retry one by hand: one id is applied once; empty for a new one")
 	command.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return []string{"toml"}, cobra.ShellCompDirectiveFilterFileExt
 	}
 	return command
 }
 
-// newChange returns the change of a service's file and the flags of put; an empty id is
-// replaced by a random one.
+// putChange sends a change. Where it is not known whether it was applied, the error
+// says how to find out.
+func putChange(ctx context.Context, config *server.Config, change *configuration.Change) (*putResult, error) {
+	response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ChangeConfiguration, Change: change})
+	if _, unanswered := errors.AsType[*unansweredError](err); unanswered {
+		return nil, fmt.Errorf("service %s: not known whether it was changed: %w; a retry with -id %s tells, and changes it once", change.Service, err, change.ID)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return &putResult{Service: change.Service, Version: response.Resource.Version.String(), ID: change.ID}, nil
+}
+
+// newChange returns the change for a file and the flags of put.
 func newChange(path, id, ifVersion string) (*configuration.Change, error) {
 	change := &configuration.Change{ID: id}
 	if ifVersion != "" {
@@ -213,17 +222,17 @@
 	return change, nil
 }
 
-// getResult is the output of get with -json.
+// getResult is what get prints with -json.
 type getResult struct {
 	Service  string          `json:"service"`
 	Version  string          `json:"version"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// configGet prints a service's settings as a file for put.
+// configGet prints a service's settings as a file that put takes.
 func configGet(options *configOptions) *cobra.Command {
-	return options.serviceVerb("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, cluster *server.Config, service string) error {
-		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration, Service: service})
+	return options.serviceVerb("get SERVICE", "print the settings of a service as a file", func(ctx context.Context, config *server.Config, service string) error {
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
@@ -235,26 +244,25 @@
 		if err != nil {
 			return fmt.Errorf("service %s: %w", service, err)
 		}
-		_, err = fmt.Fprintf(options.out, "# version %s\n%s", resource.Version, text)
-		return err
+		return printf(options.out, "# version %s\n%s", resource.Version, text)
 	})
 }
 
-// listedService is one service in the output of list with -json.
+// listedService is one service in what list prints with -json.
 type listedService struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 }
 
-// listResult is the output of list with -json.
+// listResult is what list prints with -json.
 type listResult struct {
 	Services []listedService `json:"services"`
 }
 
-// configList prints the services of a cluster.
+// configList prints all services.
 func configList(options *configOptions) *cobra.Command {
-	return options.verb("list", "print all services with their versions", 0, func(ctx context.Context, cluster *server.Config, _ []string) error {
-		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration})
+	return options.verb("list", "print all services with their versions", 0, func(ctx context.Context, config *server.Config, _ []string) error {
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration})
 		if err != nil {
 			return err
 		}
@@ -265,12 +273,11 @@
 		if options.asJSON {
 			return options.printJSON(result)
 		}
-		var text strings.Builder
+		output := &printer{out: options.out}
 		for _, service := range result.Services {
-			fmt.Fprintf(&text, "%-32s %s\n", service.Service, service.Version)
+			output.printf("%-32s %s\n", service.Service, service.Version)
 		}
-		fmt.Fprintln(&text, plural(len(result.Services), "service", "services"))
-		_, err = io.WriteString(options.out, text.String())
-		return err
+		output.println(plural(len(result.Services), "service", "services"))
+		return output.err
 	})
 }
--- a/cmd/otterspring/config_status.go
+++ b/cmd/otterspring/config_status.go
@@ -19,75 +19,75 @@
 	"otterspring/internal/fleet/coordination/server"
 )
 
-// Limits of the status of a service.
+// Bounds of the status of a service.
 const (
-	maxRelays           = 64
-	relayRequestTimeout = 5 * time.Second  // of one relay
-	inactiveAfter       = 10 * time.Second // since a subscriber's last poll: it has missed several
-	maxPrintedPerState  = 20               // subscribers in the text; -json has all
-	maxErrorExcerpt     = 120              // bytes of a relay's invalid response in an error
+	maxRelays             = 64
+	relayTimeout          = 5 * time.Second  // of one relay's response
+	subscriberTimeout     = 10 * time.Second // without a poll: several were missed
+	maxListedSubscribers  = 20               // of one state in the text; JSON has all
+	maxErrorResponseBytes = 120              // of a relay's response in an error
 )
 
-// relayResult is the state of one relay.
+// relayResult is the status that one relay returned, or why it did not.
 type relayResult struct {
 	Address     string `json:"address"`
 	Version     string `json:"version,omitempty"`
 	AgeMS       int64  `json:"age_ms"`
 	Subscribers int    `json:"subscribers"`
-	Error       string `json:"error,omitempty"` // empty if the relay responded
+	Error       string `json:"error,omitempty"` // empty for a response
 
-	response *configuration.StatusResponse // nil with Error
+	response *configuration.StatusResponse // nil for an error
 }
 
-// subscriberState is whether a subscriber has applied a service's newest version.
+// subscriberState says whether a subscriber has a service's newest version.
 type subscriberState string
 
 const (
-	stateApplied  subscriberState = "in_force"
+	stateInForce  subscriberState = "in_force"
 	stateRejected subscriberState = "rejected"
 	stateBehind   subscriberState = "behind"
 )
 
-// subscriberResult is the state of one subscriber for a service.
+// subscriberResult is one subscriber of a service.
 type subscriberResult struct {
-	Subscriber      string          `json:"subscriber"`
-	State           subscriberState `json:"state"`
-	Version         string          `json:"version"`          // of the region, that it has acknowledged
-	Reason          string          `json:"reason,omitempty"` // of a rejection
-	SinceLastPollMS int64           `json:"silent_ms"`
+	Subscriber  string          `json:"subscriber"`
+	State       subscriberState `json:"state"`
+	Version     string          `json:"version"`          // of the region, that it has received
+	Reason      string          `json:"reason,omitempty"` // of a rejection
+	SinceSeenMS int64           `json:"silent_ms"`
 }
 
-func (s *subscriberResult) sinceLastPoll() time.Duration {
-	return time.Duration(s.SinceLastPollMS) * time.Millisecond
+func (s *subscriberResult) sinceSeen() time.Duration {
+	return time.Duration(s.SinceSeenMS) * time.Millisecond
 }
 
-// statusResult is the output of status with -json: the subscribers of all relays for a
-// service.
+func (s *subscriberResult) timedOut() bool { return s.sinceSeen() > subscriberTimeout }
+
+// statusResult is the status of a service at the subscribers of all relays.
 type statusResult struct {
 	Service     string             `json:"service"`
 	Version     string             `json:"version"` // of the service's last change
-	Applied     int                `json:"in_force"`
+	InForce     int                `json:"in_force"`
 	Rejected    int                `json:"rejected"`
 	Behind      int                `json:"behind"`
-	Inactive    int                `json:"silent"` // of the above, without a poll for inactiveAfter
+	TimedOut    int                `json:"silent"` // of the three above
 	Relays      []relayResult      `json:"relays"`
 	Subscribers []subscriberResult `json:"subscribers"`
 }
 
-// configStatus prints where a service's settings are applied. It fails if a relay does not
-// respond.
+// configStatus shows where a service's settings are in force.
 func configStatus(options *configOptions) *cobra.Command {
 	var relays string
-	command := options.serviceVerb("status [flags] SERVICE", "tell where the settings of a service are in force", func(ctx context.Context, cluster *server.Config, service string) error {
-		addresses, err := relayAddresses(relays)
+	command := options.serviceVerb("status [flags] SERVICE", "show where the settings of a service are in force", func(ctx context.Context, config *server.Config, service string) error {
+		addresses, err := parseRelayAddresses(relays)
 		if err != nil {
 			return err
 		}
-		response, err := requestConfiguration(ctx, cluster, client.Request{Kind: client.ReadConfiguration, Service: service})
+		response, err := requestConfiguration(ctx, config, client.Request{Kind: client.ReadConfiguration, Service: service})
 		if err != nil {
 			return err
 		}
-		result := newStatusResult(response.Resource, fetchAllStatus(ctx, cluster.Name, addresses, service))
+		result := newStatusResult(response.Resource, fetchRelayResults(ctx, config.Name, addresses, service))
 		if options.asJSON {
 			err = options.printJSON(result)
 		} else {
@@ -98,20 +98,20 @@
 		}
 		for _, relay := range result.Relays {
 			if relay.Error != "" {
-				return errSaid
+				return errReported
 			}
 		}
 		return nil
 	})
-	command.Flags().StringVar(&relays, "relays", "", "addresses of the relays, parted by commas")
+	command.Flags().StringVar(&relays, "relays", "", "addresses of the relays, separated by commas")
 	return command
 }
 
-// relayAddresses parses the flag -relays.
-func relayAddresses(list string) ([]string, error) {
+// parseRelayAddresses reads the flag -relays.
+func parseRelayAddresses(list string) ([]string, error) {
 	addresses := strings.Split(list, ",")
 	if list == "" || len(addresses) > maxRelays {
-		return nil, fmt.Errorf("%w: -relays: found %q, wanted 1 to %d addresses parted by commas", errUsage, list, maxRelays)
+		return nil, fmt.Errorf("%w: -relays: found %q, wanted 1 to %d addresses separated by commas", errUsage, list, maxRelays)
 	}
 	seen := map[string]bool{}
 	for _, address := range addresses {
@@ -126,21 +126,21 @@
 	return addresses, nil
 }
 
-// fetchAllStatus fetches the status of all relays of a region concurrently, in the order of
+// fetchRelayResults fetches the status of all relays concurrently, in the order of
 // their addresses.
-func fetchAllStatus(ctx context.Context, region string, addresses []string, service string) []relayResult {
-	all := make([]relayResult, len(addresses))
-	var fetching sync.WaitGroup
+func fetchRelayResults(ctx context.Context, region string, addresses []string, service string) []relayResult {
+	results := make([]relayResult, len(addresses))
+	var fetches sync.WaitGroup
 	for i, address := range addresses {
-		fetching.Go(func() { all[i] = fetchRelayStatus(ctx, region, address, service) })
+		fetches.Go(func() { results[i] = fetchRelayResult(ctx, region, address, service) })
 	}
-	fetching.Wait()
-	return all
+	fetches.Wait()
+	return results
 }
 
-func fetchRelayStatus(ctx context.Context, region, address, service string) relayResult {
+func fetchRelayResult(ctx context.Context, region, address, service string) relayResult {
 	result := relayResult{Address: address}
-	response, err := fetchStatusResponse(ctx, address, service)
+	response, err := fetchStatus(ctx, address, service)
 	if err == nil && response.Region != region {
 		err = fmt.Errorf("found a relay of region %q, wanted %q", response.Region, region)
 	}
@@ -153,15 +153,15 @@
 	return result
 }
 
-func fetchStatusResponse(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, relayRequestTimeout)
+func fetchStatus(ctx context.Context, address, service string) (*configuration.StatusResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	query := url.Values{configuration.StatusParameter: {service}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+configuration.StatusPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
-	request.Close = true // the only request
+	request.Close = true // the only request to the relay
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
@@ -172,95 +172,95 @@
 		return nil, err
 	}
 	if len(text) > configuration.MaxStatusResponseBytes {
-		return nil, fmt.Errorf("found a response of more than %d bytes", configuration.MaxStatusResponseBytes)
+		return nil, fmt.Errorf("response: found more than %d bytes", configuration.MaxStatusResponseBytes)
 	}
 	status := &configuration.StatusResponse{}
 	if err := json.Unmarshal(text, status); response.StatusCode != http.StatusOK || err != nil {
-		return nil, fmt.Errorf("found status %d and %q, wanted a response in JSON", response.StatusCode, text[:min(len(text), maxErrorExcerpt)])
+		return nil, fmt.Errorf("response: found status %d and %q, wanted JSON", response.StatusCode, text[:min(len(text), maxErrorResponseBytes)])
 	}
 	return status, nil
 }
 
-// newStatusResult compares the subscribers' versions with a service's newest one.
+// newStatusResult counts the subscribers of all relays by state.
 func newStatusResult(resource *configuration.Resource, relays []relayResult) statusResult {
 	result := statusResult{Service: resource.Service, Version: resource.Version.String(), Relays: relays, Subscribers: []subscriberResult{}}
-	var reports [][]configuration.SubscriberStatus
+	var lists [][]configuration.SubscriberStatus
 	for _, relay := range relays {
 		if relay.response != nil {
-			reports = append(reports, relay.response.Subscribers)
+			lists = append(lists, relay.response.Subscribers)
 		}
 	}
-	for _, subscriber := range configuration.MergeStatus(reports...) {
-		state := subscriberResult{Subscriber: subscriber.Subscriber, State: stateApplied, Version: subscriber.Version.String(), SinceLastPollMS: subscriber.SinceLastPollMS}
+	for _, status := range configuration.MergeStatus(lists...) {
+		subscriber := subscriberResult{Subscriber: status.Subscriber, State: stateInForce, Version: status.Version.String(), SinceSeenMS: status.SinceLastPollMS}
 		switch {
-		case subscriber.Version < resource.Version:
-			state.State = stateBehind
+		case status.Version < resource.Version:
+			subscriber.State = stateBehind
 			result.Behind++
-		case subscriber.RejectedVersion >= resource.Version:
-			state.State, state.Reason = stateRejected, subscriber.Reason
+		case status.RejectedVersion >= resource.Version:
+			subscriber.State, subscriber.Reason = stateRejected, status.Reason
 			result.Rejected++
 		default:
-			result.Applied++
+			result.InForce++
 		}
-		if state.sinceLastPoll() > inactiveAfter {
-			result.Inactive++
+		if subscriber.timedOut() {
+			result.TimedOut++
 		}
-		result.Subscribers = append(result.Subscribers, state)
+		result.Subscribers = append(result.Subscribers, subscriber)
 	}
 	return result
 }
 
 // printStatus prints a status as text.
 func printStatus(out io.Writer, result statusResult) error {
-	var text strings.Builder
+	output := &printer{out: out}
 	for _, relay := range result.Relays {
 		if relay.Error != "" {
-			fmt.Fprintf(&text, "relay %s: no answer: %s\n", relay.Address, relay.Error)
+			output.printf("relay %s: no answer: %s\n", relay.Address, relay.Error)
 			continue
 		}
 		age := time.Duration(relay.AgeMS) * time.Millisecond
-		fmt.Fprintf(&text, "relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
+		output.printf("relay %s: version %s, heard from the council %v ago, %s\n", relay.Address, relay.Version, age, plural(relay.Subscribers, "subscriber", "subscribers"))
 	}
-	printState(&text, result.Subscribers, func(s *subscriberResult) string {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
 		if s.State != stateRejected {
 			return ""
 		}
-		return fmt.Sprintf("rejected by %s: %s", s.Subscriber, oneLine(s.Reason))
+		return fmt.Sprintf("rejected by %s: %s", s.Subscriber, singleLine(s.Reason))
 	})
-	printState(&text, result.Subscribers, func(s *subscriberResult) string {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
 		if s.State != stateBehind {
 			return ""
 		}
 		return fmt.Sprintf("behind: %s at version %s", s.Subscriber, s.Version)
 	})
-	printState(&text, result.Subscribers, func(s *subscriberResult) string {
-		if s.sinceLastPoll() <= inactiveAfter {
+	printSubscribers(output, result.Subscribers, func(s *subscriberResult) string {
+		if !s.timedOut() {
 			return ""
 		}
-		return fmt.Sprintf("silent: %s for %v", s.Subscriber, s.sinceLastPoll().Round(time.Second))
+		return fmt.Sprintf("silent: %s for %v", s.Subscriber, s.sinceSeen().Round(time.Second))
 	})
-	fmt.Fprintf(&text, "%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
-		result.Service, result.Version, result.Applied, len(result.Subscribers), result.Rejected, result.Behind, result.Inactive)
-	_, err := io.WriteString(out, text.String())
-	return err
+	output.printf("%s: version %s in force at %d of %d, rejected by %d, behind %d, silent %d\n",
+		result.Service, result.Version, result.InForce, len(result.Subscribers), result.Rejected, result.Behind, result.TimedOut)
+	return output.err
 }
 
-// printState prints the lines of the subscribers that have one, maxPrintedPerState at most.
-func printState(text *strings.Builder, all []subscriberResult, format func(*subscriberResult) string) {
-	found := 0
-	for i := range all {
-		line := format(&all[i])
-		if line == "" {
+// printSubscribers prints the lines of the first maxListedSubscribers for which line
+// returns one.
+func printSubscribers(output *printer, subscribers []subscriberResult, line func(*subscriberResult) string) {
+	count := 0
+	for i := range subscribers {
+		text := line(&subscribers[i])
+		if text == "" {
 			continue
 		}
-		if found++; found <= maxPrintedPerState {
-			text.WriteString(line + "\n")
+		if count++; count <= maxListedSubscribers {
+			output.println(text)
 		}
 	}
-	if found > maxPrintedPerState {
-		fmt.Fprintf(text, "... and %d more (-json has all)\n", found-maxPrintedPerState)
+	if count > maxListedSubscribers {
+		output.printf("... and %d more (-json has all)\n", count-maxListedSubscribers)
 	}
 }
 
-// oneLine returns a text without line breaks.
-func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+// singleLine replaces line breaks in a text of another process.
+func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/cmd/otterspring/relay.go
+++ b/cmd/otterspring/relay.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
 	"time"
 
@@ -19,7 +18,6 @@
 	"otterspring/internal/fleet/relay"
 )
 
-// Limits of a request for a relay's status.
 const (
 	relayStatusTimeout  = 2 * time.Second
 	maxRelayStatusBytes = 64 << 10
@@ -27,21 +25,21 @@
 
 // relayCommand is `otterspring relay` with its verbs.
 func relayCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("relay", "serve a region's configuration to the sidecars of a zone",
-		"relay follows the council of a region and serves its configuration to the sidecars of a zone\n"+
-			"(docs/operate/configuration.md). It keeps no file. SIGTERM and SIGINT hand the subscribers on\n"+
+	return cli.NewGroup("relay", "serve a region's configuration to the sidecars of a zone",
+		"relay watches the configuration in the council of a region and serves it to the sidecars of a zone\n"+
+			"(docs/operate/configuration.md). It stores no file. SIGTERM and SIGINT drain its subscribers\n"+
 			"within the file's drain; a second one ends it at once. Exit codes: 0 done, 1 it could not be\n"+
 			"done, 2 usage.",
 		relayRun(log), relayCheck(out), relayStatus(out))
 }
 
 func relayRun(log func() *slog.Logger) *cobra.Command {
-	return relayVerb("run FILE", "serve until a signal", func(path string) error {
+	return relayVerb("run FILE", "serve until a signal", func(ctx context.Context, path string) error {
 		file, err := relay.LoadFile(path)
 		if err != nil {
 			return err
 		}
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		context.AfterFunc(ctx, stop) // a second signal ends the process
 		process, err := relay.Open(file, log())
@@ -53,21 +51,21 @@
 }
 
 func relayCheck(out io.Writer) *cobra.Command {
-	return relayVerb("check FILE", "say what is wrong with a file, start nothing", func(path string) error {
+	return relayVerb("check FILE", "check a file without starting anything", func(_ context.Context, path string) error {
 		file, err := relay.LoadFile(path)
-		if err == nil {
-			_, err = fmt.Fprintf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
-				plural(len(file.Members), "member", "members"), plural(file.MaxSnapshotsInFlight, "snapshot", "snapshots"))
+		if err != nil {
+			return err
 		}
-		return err
+		return printf(out, "%s: good; relay %s of zone %s, %s, %s at once\n", path, file.Name, file.Zone,
+			plural(len(file.Members), "member", "members"), plural(file.MaxSnapshotsInFlight, "snapshot", "snapshots"))
 	})
 }
 
-// relayStatus prints the state of a running relay.
+// relayStatus prints the status of a relay.
 func relayStatus(out io.Writer) *cobra.Command {
 	var asJSON bool
-	command := relayVerb("status ADDRESS", "how a relay that runs is", func(address string) error {
-		text, err := fetchRelayInfo(address)
+	command := relayVerb("status ADDRESS", "show the status of a running relay", func(ctx context.Context, address string) error {
+		text, err := fetchRelayInfo(ctx, address)
 		if err != nil {
 			return err
 		}
@@ -76,18 +74,16 @@
 			return fmt.Errorf("%s: found no relay, but another server", address)
 		}
 		if asJSON {
-			_, err := fmt.Fprintln(out, string(text))
-			return err
+			return printf(out, "%s\n", text)
 		}
 		return printRelayInfo(out, &info)
 	})
-	command.Flags().BoolVar(&asJSON, "json", false, "the relay's own answer, as JSON in one line")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the relay's response, as JSON in one line")
 	return command
 }
 
-// fetchRelayInfo returns the JSON of a relay's Info.
-func fetchRelayInfo(address string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), relayStatusTimeout)
+func fetchRelayInfo(ctx context.Context, address string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayStatusTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+relay.InfoPath, nil)
 	if err != nil {
@@ -105,9 +101,7 @@
 	return text, err
 }
 
-// printRelayInfo prints the state of a relay as text.
 func printRelayInfo(out io.Writer, info *relay.Info) error {
-	var text strings.Builder
 	state := "serves"
 	switch {
 	case info.Draining:
@@ -115,23 +109,23 @@
 	case !info.Ready:
 		state = "has not heard from a council yet"
 	}
-	fmt.Fprintf(&text, "relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
-	fmt.Fprintf(&text, "version %v, %d ms old\n", info.Version, info.AgeMS)
-	fmt.Fprintf(&text, "%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
+	p := &printer{out: out}
+	p.printf("relay %s of zone %s, region %s: %s\n", info.Name, info.Zone, info.Region, state)
+	p.printf("version %v, %d ms old\n", info.Version, info.AgeMS)
+	p.printf("%s, %s, %d refused\n", plural(info.Subscribers, "subscriber", "subscribers"),
 		plural(int(info.Connections), "connection", "connections"), info.Counts.ConnectionsRejected)
-	fmt.Fprintf(&text, "%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
+	p.printf("%d polls: %d without news, %d deltas, %d snapshots (%d under way, %d at most), %d told to come again, %d cut\n",
 		info.Counts.Polls, info.Counts.Empty, info.Counts.Deltas, info.Counts.Snapshots, info.SnapshotsInFlight, info.SnapshotsPeak,
 		info.Counts.Busy, info.Counts.WriteTimeouts)
-	_, err := io.WriteString(out, text.String())
-	return err
+	return p.err
 }
 
 // relayVerb returns a verb that takes one argument.
-func relayVerb(use, short string, run func(argument string) error) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true, RunE: func(command *cobra.Command, arguments []string) error {
-		if len(arguments) != 1 {
-			return fmt.Errorf("%w: relay %s: found %d words, wanted: %s", errUsage, command.Name(), len(arguments), use)
+func relayVerb(use, short string, run func(ctx context.Context, arg string) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, DisableFlagsInUseLine: true, RunE: func(c *cobra.Command, args []string) error {
+		if len(args) != 1 {
+			return fmt.Errorf("%w: relay %s: found %d words, wanted: %s", errUsage, c.Name(), len(args), use)
 		}
-		return run(arguments[0])
+		return run(c.Context(), args[0])
 	}}
 }
--- a/cmd/otterspring/relay_test.go
+++ b/cmd/otterspring/relay_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -18,10 +17,9 @@
 
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/relay"
-	"otterspring/internal/testkit"
 )
 
-// programVariable makes TestMain run otterspring instead of the tests.
+// programVariable lets TestMain run otterspring instead of the tests.
 const programVariable = "TEST_OTTERSPRING"
 
 // writeRelayFile writes a relay's file and returns its path.
@@ -35,28 +33,40 @@
 	return path
 }
 
-// relayNetwork is the loopback network of the relays in these tests.
-const relayNetwork = 150
-
-// freeAddress returns an address at which nobody listens, of an IP that no other test uses.
+// freeAddress returns an address without a listener, with an IP that no other test uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	return testkit.UnusedAddress(t, relayNetwork)
+	return freePort(t, fmt.Sprintf("127.%d.%d.%d", 150+os.Getpid()%40, 1+os.Getpid()/40%250, 1+testIPs.Add(1)))
+}
+
+// freePort returns an address of an IP without a listener. No child is started
+// meanwhile: until it runs its program it would have a copy of the listener, and keep
+// the address in use.
+func freePort(t *testing.T, ip string) string {
+	t.Helper()
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
+	listener, err := net.Listen("tcp", ip+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// Each error of a relay is one line with its place, and has the right exit code.
+// Each error of a relay is one line with its place, and the right exit code.
 func TestRelayExitCodes(t *testing.T) {
-	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if err := json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found council west, wanted east"}); err != nil {
+	foreign := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if err := json.NewEncoder(w).Encode(client.Response{Cluster: "east#1", Unavailable: "found cluster west, wanted east"}); err != nil {
 			t.Error(err)
 		}
 	}))
-	defer other.Close()
-	occupied, err := net.Listen("tcp", "127.0.0.1:0")
+	defer foreign.Close()
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer occupied.Close()
+	defer taken.Close()
 	nobody := freeAddress(t)
 	good := writeRelayFile(t, freeAddress(t), nobody, "")
 	for _, c := range []struct {
@@ -69,11 +79,11 @@
 		{[]string{"relay", "check", good}, 0, "good; relay r1 of zone west-1, 1 member, 64 snapshots at once"},
 		{[]string{"relay", "check", writeRelayFile(t, nobody, nobody, "")}, 1, "relay.toml:5: members: found " + nobody + " twice"},
 		{[]string{"relay", "run", writeRelayFile(t, nobody, freeAddress(t), "dance = 1")}, 1, "relay.toml:6: dance: found a key that is not known"},
-		{[]string{"relay", "run", writeRelayFile(t, occupied.Addr().String(), nobody, "")}, 1, "relay.toml: listen: listen tcp " + occupied.Addr().String()},
-		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), other.Listener.Addr().String(), "")}, 1, `: found cluster "east", wanted "west"`},
+		{[]string{"relay", "run", writeRelayFile(t, taken.Addr().String(), nobody, "")}, 1, "relay.toml: listen: listen tcp " + taken.Addr().String()},
+		{[]string{"relay", "run", writeRelayFile(t, freeAddress(t), foreign.Listener.Addr().String(), "")}, 1, `: found cluster "east", wanted "west"`},
 		{[]string{"relay", "status", nobody}, 1, "connection refused"},
 		{[]string{"relay", "status", "a b"}, 2, `found address "a b"`},
-		{[]string{"relay", "status", other.Listener.Addr().String()}, 1, "found no relay"},
+		{[]string{"relay", "status", foreign.Listener.Addr().String()}, 1, "found no relay"},
 		{[]string{"__complete", "relay", "status", "--j"}, 0, "--json"},
 	} {
 		var out, errw bytes.Buffer
@@ -85,57 +95,28 @@
 	}
 }
 
-// startRelay starts a relay in a separate process, whose cluster does not respond.
-func startRelay(t *testing.T, settings string) (process *exec.Cmd, address string) {
+// startRelay starts a process of a relay without a cluster.
+func startRelay(t *testing.T, more string) (process *exec.Cmd, address string) {
 	t.Helper()
 	address = freeAddress(t)
-	process = exec.Command(os.Args[0], "relay", "run", writeRelayFile(t, address, freeAddress(t), settings))
+	process = exec.Command(os.Args[0], "relay", "run", writeRelayFile(t, address, freeAddress(t), more))
 	process.Env = append(os.Environ(), programVariable+"=1")
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves no process
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends with the test program
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { killProcess(t, process) })
+	t.Cleanup(func() { kill(t, process) })
 	awaitRelay(t, address, func(*relay.Info) bool { return true })
 	return process, address
 }
 
-// killProcess ends a process, if it has not ended, and waits for its end.
-func killProcess(t *testing.T, process *exec.Cmd) {
-	t.Helper()
-	if process.ProcessState != nil {
-		return
-	}
-	if err := process.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		t.Error(err)
-	}
-	awaitExit(t, process)
-}
-
-// awaitExit waits for the end of a process, whatever its exit code or signal is.
-func awaitExit(t *testing.T, process *exec.Cmd) {
+// awaitRelay waits until a relay responds with an info that is wanted.
+func awaitRelay(t *testing.T, address string, wanted func(info *relay.Info) bool) {
 	t.Helper()
-	if err := process.Wait(); err != nil {
-		if _, ok := errors.AsType[*exec.ExitError](err); !ok {
-			t.Error(err)
-		}
-	}
-}
-
-func signalProcess(t *testing.T, process *exec.Cmd, signal syscall.Signal) {
-	t.Helper()
-	if err := process.Process.Signal(signal); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// awaitRelay waits until a relay responds and meets a condition.
-func awaitRelay(t *testing.T, address string, isMet func(info *relay.Info) bool) {
-	t.Helper()
-	for deadline := time.Now().Add(hangTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		var out, errw bytes.Buffer
 		var info relay.Info
-		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && isMet(&info) {
+		if run([]string{"relay", "status", "-json", address}, &out, &errw) == 0 && json.Unmarshal(out.Bytes(), &info) == nil && wanted(&info) {
 			return
 		}
 		if time.Now().After(deadline) {
@@ -144,7 +125,7 @@
 	}
 }
 
-// The first signal starts a drain, the second ends the process immediately.
+// The first signal starts a drain, the second one ends the process at once.
 func TestRelaySignals(t *testing.T) {
 	t.Parallel()
 	process, address := startRelay(t, "drain = \"100ms\"\n")
@@ -152,21 +133,29 @@
 	if code := run([]string{"relay", "status", address}, &out, &errw); code != 0 || !strings.Contains(out.String(), "has not heard from a council yet") {
 		t.Errorf("status: %d %s%s", code, out.String(), errw.String())
 	}
-	signalProcess(t, process, syscall.SIGTERM)
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
 	if err := process.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v, wanted exit code 0", err)
 	}
 	process, address = startRelay(t, "drain = \"1m\"\n")
-	conn, err := net.Dial("tcp", address) // a drain lasts while there is a connection
+	conn, err := net.Dial("tcp", address) // a drain lasts while somebody is connected
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	signalProcess(t, process, syscall.SIGTERM)
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
 	awaitRelay(t, address, func(info *relay.Info) bool { return info.Draining })
-	signalProcess(t, process, syscall.SIGTERM)
-	awaitExit(t, process)
+	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Wait(); err == nil {
+		t.Error("after the second SIGTERM: exit code 0, wanted a signal")
+	}
 	if status := process.ProcessState.Sys().(syscall.WaitStatus); !status.Signaled() || status.Signal() != syscall.SIGTERM {
-		t.Errorf("after the second SIGTERM: %v, wanted an end by it", process.ProcessState)
+		t.Errorf("after the second SIGTERM: %v, wanted an end by the signal", process.ProcessState)
 	}
 }
--- a/internal/sidecar/configclient/client.go
+++ b/internal/sidecar/configclient/client.go
@@ -188,7 +188,7 @@
 }
 
 // logFailure logs that a relay has started to fail: one line until it responds again.
-// Package logs limits the rate of lines with one message.
+// Package logging limits the rate of lines with one message.
 func (c *Client) logFailure(relay int, err error) {
 	if c.failing[relay] {
 		return
