--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -69,8 +69,8 @@
 	if len(args) > 0 && args[0] == rig.ReaperWord {
 		return rig.Reap(os.Stdin)
 	}
-	if len(args) > 0 && args[0] == scale.HollowWord {
-		return scale.RunHollow(os.Stdin, os.Stdout, os.Stderr)
+	if len(args) > 0 && args[0] == scale.SimulatorCommand {
+		return scale.RunSimulator(os.Stdin, os.Stdout, os.Stderr)
 	}
 	if len(args) > 0 && args[0] == proxyWord {
 		return runProxy(args[1:])
@@ -177,7 +177,7 @@
 	return filepath.Abs(named)
 }
 
-// ready returns the sidecar to run, as program does, and the folder of a run.
+// readyCount returns the sidecar to run, as program does, and the folder of a run.
 func ready(named string) (argv []string, dir string, clean func(), err error) {
 	if argv, err = program(named); err != nil {
 		return nil, "", nil, err
--- a/cmd/rig/scale.go
+++ b/cmd/rig/scale.go
@@ -46,7 +46,7 @@
 	o := &scaleFlags{}
 	f.IntVar(&o.options.Sidecars, "sidecars", 1000, "hollow subscribers")
 	f.IntVar(&o.options.Real, "real", -1, "sidecars as processes of their own, under load; -1 for 20, and none with -sweep")
-	f.DurationVar(&o.options.For, "for", 0, "how long changes come; 0 for 60s, and 15s with -sweep")
+	f.DurationVar(&o.options.Duration, "for", 0, "how long changes come; 0 for 60s, and 15s with -sweep")
 	f.Uint64Var(&o.seed, "seed", 1, "where all chance comes from")
 	f.StringVar(&o.seeds, "seeds", "", "a range of seeds like 1..3, in place of -seed")
 	f.Float64Var(&o.options.ChangesPerSecond, "changes-per-s", 4, "changes of configuration a second")
@@ -54,7 +54,7 @@
 	f.IntVar(&o.options.Zones, "zones", 19, "zones, each with a relay")
 	f.IntVar(&o.options.CallsServices, "calls-services", 20, "services that each sidecar subscribes to")
 	f.IntVar(&o.options.SettingsBytes, "settings-bytes", 2048, "size of one service's settings")
-	f.IntVar(&o.options.SnapshotsAtOnce, "snapshots-at-once", configuration.DefaultAdmissionSettings.Slots, "snapshots that each relay may have under way")
+	f.IntVar(&o.options.MaxSnapshots, "snapshots-at-once", configuration.DefaultAdmissionSettings.Slots, "snapshots that each relay may have under way")
 	f.StringVar(&o.faults, "faults", "none", "none, or all: drawn by the seed")
 	f.BoolVar(&o.sweep, "sweep", false, "play several sizes and fit lines over them")
 	f.StringVar(&o.sizes, "sizes", sweepSizes, "sizes of a sweep, rising, with commas between them")
@@ -130,8 +130,8 @@
 	if o.options.Real == -1 {
 		o.options.Real = real
 	}
-	if o.options.For == 0 {
-		o.options.For = length
+	if o.options.Duration == 0 {
+		o.options.Duration = length
 	}
 }
 
@@ -143,14 +143,14 @@
 		return err
 	}
 	if !o.sweep {
-		return o.options.Check(limits)
+		return o.options.Validate(limits)
 	}
 	if err := scale.CheckSizes(sizes); err != nil {
 		return err
 	}
 	largest := o.options
 	largest.Sidecars = slices.Max(sizes)
-	return largest.Check(limits)
+	return largest.Validate(limits)
 }
 
 // scaleUsage makes options that can't be played an error of usage.
@@ -215,7 +215,7 @@
 			return err
 		}
 		printScale(out, f)
-		fmt.Fprintf(out, "scale sockets seed %d %s rules_broken=%d\n", seed, runVerdict(f), len(f.Broken()))
+		fmt.Fprintf(out, "scale sockets seed %d %s rules_broken=%d\n", seed, runVerdict(f), len(f.BrokenRules()))
 		if len(seeds) > 1 {
 			fmt.Fprintf(out, "seed=%d %s\n", seed, f.Line())
 		}
@@ -250,7 +250,7 @@
 
 func printScale(out io.Writer, f *scale.Figures) {
 	fmt.Fprintf(out, "seed %d, %d subscribers:\n", f.Seed, f.Sidecars)
-	for _, line := range f.Detail() {
+	for _, line := range f.Details() {
 		fmt.Fprintln(out, "  "+line)
 	}
 }
@@ -280,9 +280,9 @@
 // matter of pace, and breaks the others all the same.
 func runVerdict(f *scale.Figures) string {
 	switch {
-	case len(f.Violations()) > 0, len(f.Void) == 0 && len(f.Broken()) > 0:
+	case len(f.Violations()) > 0, len(f.VoidReasons) == 0 && len(f.BrokenRules()) > 0:
 		return runBroken
-	case len(f.Void) > 0:
+	case len(f.VoidReasons) > 0:
 		return runVoid
 	}
 	return runKept
--- a/cmd/rig/scale_test.go
+++ b/cmd/rig/scale_test.go
@@ -226,11 +226,11 @@
 		err     error
 	}{
 		{"all rules kept", scale.Figures{}, runKept, nil},
-		{"a rule of any pace", scale.Figures{OlderAccepted: 1}, runBroken, errRules},
-		{"a rule of any pace in a void run", scale.Figures{OlderAccepted: 1, Void: void}, runBroken, errRules},
+		{"a rule of any pace", scale.Figures{OutdatedAccepted: 1}, runBroken, errRules},
+		{"a rule of any pace in a void run", scale.Figures{OutdatedAccepted: 1, VoidReasons: void}, runBroken, errRules},
 		{"a rule that is a matter of pace", scale.Figures{Stale: 1}, runBroken, errRules},
-		{"a rule that is a matter of pace in a void run", scale.Figures{Stale: 1, Void: void}, runVoid, errVoid},
-		{"a void run", scale.Figures{Void: void}, runVoid, errVoid},
+		{"a rule that is a matter of pace in a void run", scale.Figures{Stale: 1, VoidReasons: void}, runVoid, errVoid},
+		{"a void run", scale.Figures{VoidReasons: void}, runVoid, errVoid},
 	} {
 		if found := runVerdict(&c.figures); found != c.want {
 			t.Errorf("%s: found %q, wanted %q", c.name, found, c.want)
--- a/internal/lab/scale/benchmark.go
+++ b/internal/lab/scale/benchmark.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// BenchmarkSeries is one figure of a benchmark of the testing package over the sizes
-// that its sub-benchmarks are named by: "Benchmark<Name>/<parameter>=<size>".
+// BenchmarkSeries is one metric of a benchmark of the testing package over the sizes in
+// the names of its sub-benchmarks: "Benchmark<Name>/<parameter>=<size>".
 type BenchmarkSeries struct {
 	Name      string // with the names of sub-benchmarks before the last
 	Parameter string // what the size is of
 	Unit      string
-	Sizes     []float64 // rising
+	Sizes     []float64 // sorted
 	Medians   []float64 // over the runs of each size
 }
 
@@ -29,8 +29,8 @@
 	benchmarkSize = regexp.MustCompile(`^(?:(.+)/)?([A-Za-z]+)=(\d+)$`)
 )
 
-// ReadBenchmarks reads what go test -bench has printed. Benchmarks without a size are
-// left out, and the wall time where the processor time is there, too.
+// ReadBenchmarks parses the output of go test -bench. Benchmarks without a size are
+// skipped, and the wall time if there is the processor time, too.
 func ReadBenchmarks(r io.Reader) ([]BenchmarkSeries, error) {
 	values := map[seriesKey]map[float64][]float64{}
 	lines := bufio.NewScanner(r)
@@ -62,7 +62,7 @@
 	return collectSeries(values), lines.Err()
 }
 
-// readFigures reads a benchmark's figures, each a number and its unit.
+// readFigures parses a benchmark's metrics, each a number and its unit.
 func readFigures(text string) (map[string]float64, error) {
 	fields := strings.Fields(text)
 	if len(fields)%2 != 0 {
@@ -107,8 +107,8 @@
 	return sorted[middle]
 }
 
-// Fit is the series' line in words, and how well it predicts the largest size; an
-// error where there are too few sizes.
+// Fit returns the series' line and its prediction of the largest size as text; an error if
+// there are too few sizes.
 func (s *BenchmarkSeries) Fit() (string, error) {
 	line, err := FitLine(s.Sizes, s.Medians)
 	if err != nil {
@@ -122,8 +122,8 @@
 	if prediction.Bends() {
 		bends = " BENDS"
 	}
-	last := len(s.Sizes) - 1
+	largest := len(s.Sizes) - 1
 	return fmt.Sprintf("%s %s: %.4g + %.4g a %s (95%% interval %.4g to %.4g, %d sizes of %v to %v); %.4g to %.4g; largest: predicted_over_measured=%.2f%s",
-		s.Name, s.Unit, line.Intercept, line.Slope, s.Parameter, line.Low, line.High, line.Points, s.Sizes[0], s.Sizes[last],
-		s.Medians[0], s.Medians[last], prediction.Ratio(), bends), nil
+		s.Name, s.Unit, line.Intercept, line.Slope, s.Parameter, line.Low, line.High, line.Points, s.Sizes[0], s.Sizes[largest],
+		s.Medians[0], s.Medians[largest], prediction.Ratio(), bends), nil
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -19,54 +19,54 @@
 )
 
 const (
-	// startWithin bounds the start of a process, endWithin its end on SIGTERM. They
-	// end a run that hangs, and are no verdict on speed.
-	startWithin = 60 * time.Second
-	endWithin   = 20 * time.Second
-	askEvery    = 20 * time.Millisecond
-	askWithin   = time.Second
+	// startTimeout limits the start of a process, stopTimeout its end on SIGTERM. They end
+	// a run that does not progress, and are no limits of speed.
+	startTimeout   = 60 * time.Second
+	stopTimeout    = 20 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	requestTimeout = time.Second
 )
 
-// control are the council and the relays of a run.
+// control is the cluster and the relays of a run.
 type control struct {
-	programs  Programs
-	reaper    *rig.Reaper
-	directory string
-	snapshots int // that a relay may have under way
+	programs     Programs
+	reaper       *rig.Reaper
+	directory    string
+	maxSnapshots int // in flight at a relay
 
-	council     group
-	relays      group
-	members     []*member
-	zones       []*zoneRelay
-	councilFile string
-	http        http.Client
-	mu          sync.Mutex // guards the following
-	outages     []Outage
-	peak        int // snapshots under way at a time, over all relays
+	clusterProcesses group
+	relayProcesses   group
+	members          []*member
+	zones            []*zoneRelay
+	clusterFile      string
+	http             http.Client
+	mu               sync.Mutex // guards the following
+	outages          []Outage
+	peakSnapshots    int // highest number of snapshots in flight at a relay
 }
 
-// member is one of the council.
+// member is a member of the cluster.
 type member struct {
 	number  int
 	address string
 
-	mu      sync.Mutex // held while it is started or ended
+	mu      sync.Mutex // locked while it is started or ended
 	process *Process
 }
 
-// zoneRelay is a zone's relay, with a link to each member that can be cut.
+// zoneRelay is a zone's relay, with a link to each member that can be blocked.
 type zoneRelay struct {
 	zone    int
 	address string
 	file    string
 	links   []*relay.Relay
 
-	mu      sync.Mutex // held while it is started or ended
+	mu      sync.Mutex // locked while it is started or ended
 	process *Process
 }
 
-// freeAddress takes an address of its own in 127/8, so that no outgoing connection
-// takes its port while its process restarts.
+// freeAddress returns a unique address in 127/8, whose port no outgoing connection takes
+// while its process restarts.
 func freeAddress(block, number int) (string, error) {
 	pid := os.Getpid()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", block+pid%50, 1+pid/50%250, 1+number))
@@ -77,30 +77,31 @@
 	return listener.Addr().String(), nil
 }
 
-// Blocks of 127/8 from which addresses are taken.
+// Networks of 127/8 of the addresses.
 const (
 	memberBlock = 100
 	relayBlock  = 160
 )
 
-// newControl writes the files of a council and its relays and opens the links.
-func newControl(o *Options, directory string, reaper *rig.Reaper) (*control, error) {
-	c := &control{programs: o.Programs, reaper: reaper, directory: directory, snapshots: o.SnapshotsAtOnce}
-	c.http = http.Client{Timeout: askWithin, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second}}
-	c.councilFile = filepath.Join(directory, "council.toml")
-	text := fmt.Sprintf("name = %q\ndirectory = %q\n", Region, filepath.Join(directory, "council"))
+// newControl writes the files of a cluster and its relays and opens the links.
+func newControl(options *Options, directory string, reaper *rig.Reaper) (*control, error) {
+	c := &control{programs: options.Programs, reaper: reaper, directory: directory, maxSnapshots: options.MaxSnapshots}
+	c.http = http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second}}
+	c.clusterFile = filepath.Join(directory, "council.toml")
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\ndirectory = %q\n", Region, filepath.Join(directory, "council"))
 	for i := range members {
 		address, err := freeAddress(memberBlock, i)
 		if err != nil {
 			return nil, err
 		}
 		c.members = append(c.members, &member{number: i + 1, address: address})
-		text += fmt.Sprintf("[[member]]\nnumber = %d\naddress = %q\n", i+1, address)
+		fmt.Fprintf(&text, "[[member]]\nnumber = %d\naddress = %q\n", i+1, address)
 	}
-	if err := os.WriteFile(c.councilFile, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(c.clusterFile, []byte(text.String()), 0o600); err != nil {
 		return nil, err
 	}
-	for zone := range o.Zones {
+	for zone := range options.Zones {
 		one, err := c.newRelay(zone)
 		if one != nil {
 			c.zones = append(c.zones, one)
@@ -119,24 +120,24 @@
 	if one.address, err = freeAddress(relayBlock, zone); err != nil {
 		return nil, err
 	}
-	var through []string
+	var addresses []string
 	for _, m := range c.members {
 		link, err := relay.Start(func() string { return m.address })
 		if err != nil {
 			return one, err
 		}
 		one.links = append(one.links, link)
-		through = append(through, strconv.Quote(link.Addr()))
+		addresses = append(addresses, strconv.Quote(link.Addr()))
 	}
 	text := fmt.Sprintf("region = %q\nmembers = [%s]\nzone = %q\nname = %q\nlisten = %q\nsnapshots_at_once = %d\n",
-		Region, strings.Join(through, ", "), zoneName(zone), relayName(zone), one.address, c.snapshots)
+		Region, strings.Join(addresses, ", "), zoneName(zone), relayName(zone), one.address, c.maxSnapshots)
 	return one, os.WriteFile(one.file, []byte(text), 0o600)
 }
 
 // close ends all processes and links.
 func (c *control) close() {
-	c.relays.kill()
-	c.council.kill()
+	c.relayProcesses.kill()
+	c.clusterProcesses.kill()
 	for _, one := range c.zones {
 		for _, link := range one.links {
 			link.Close()
@@ -161,7 +162,7 @@
 	return all
 }
 
-// start starts the council, then the relays, and waits until all are ready.
+// start starts the cluster, then the relays, and waits until all are ready.
 func (c *control) start(ctx context.Context) error {
 	for _, m := range c.members {
 		m.mu.Lock()
@@ -183,7 +184,7 @@
 				errs <- err
 				return
 			}
-			errs <- c.awaitRelay(ctx, one, startWithin)
+			errs <- c.awaitRelay(ctx, one, startTimeout)
 		}()
 	}
 	var all []error
@@ -193,19 +194,19 @@
 	return firstError(all...)
 }
 
-// startMember starts a member's process. The caller holds its mutex.
+// startMember starts a member's process. The caller has locked its mu.
 func (c *control) startMember(m *member, flags ...string) error {
 	argv := append(append([]string{}, c.programs.Operator...), "council", "run", "-member", strconv.Itoa(m.number))
-	process, err := startProcess(c.reaper, fmt.Sprintf("member-%d", m.number), append(append(argv, flags...), c.councilFile), nil, nil)
+	process, err := startProcess(c.reaper, fmt.Sprintf("member-%d", m.number), append(append(argv, flags...), c.clusterFile), nil, nil)
 	if err != nil {
 		return err
 	}
 	m.process = process
-	c.council.add(process)
+	c.clusterProcesses.add(process)
 	return nil
 }
 
-// startRelay starts a relay's process. The caller holds its mutex.
+// startRelay starts a relay's process. The caller has locked its mu.
 func (c *control) startRelay(one *zoneRelay) error {
 	argv := append(append([]string{}, c.programs.Operator...), "relay", "run", one.file)
 	process, err := startProcess(c.reaper, relayName(one.zone), argv, nil, nil)
@@ -213,39 +214,39 @@
 		return err
 	}
 	one.process = process
-	c.relays.add(process)
+	c.relayProcesses.add(process)
 	return nil
 }
 
-// awaitLeader waits until a member leads, and returns it.
+// awaitLeader waits until the cluster has a leader, and returns it.
 func (c *control) awaitLeader(ctx context.Context) (*member, error) {
-	for began := time.Now(); time.Since(began) < startWithin; {
+	for started := time.Now(); time.Since(started) < startTimeout; {
 		for _, m := range c.members {
-			asking, cancel := context.WithTimeout(ctx, askWithin)
-			answer, err := client.Call(asking, &c.http, m.address, Region, client.Request{Kind: client.WatchLeases})
+			attempt, cancel := context.WithTimeout(ctx, requestTimeout)
+			response, err := client.Call(attempt, &c.http, m.address, Region, client.Request{Kind: client.WatchLeases})
 			cancel()
-			if err == nil && answer.IsLeader {
+			if err == nil && response.IsLeader {
 				return m, nil
 			}
 		}
-		if err := firstError(append(c.council.crashes(), ctx.Err())...); err != nil {
+		if err := firstError(append(c.clusterProcesses.crashes(), ctx.Err())...); err != nil {
 			return nil, err
 		}
-		time.Sleep(askEvery)
+		time.Sleep(pollInterval)
 	}
-	return nil, fmt.Errorf("council: found no leader within %v, wanted one", startWithin)
+	return nil, fmt.Errorf("cluster: found no leader within %v, wanted one", startTimeout)
 }
 
-// relayInfo is what of a relay's own account is used.
+// relayInfo is the part of a relay's state that is used.
 type relayInfo struct {
 	Ready         bool `json:"ready"`
 	SnapshotsPeak int  `json:"snapshots_peak"`
 }
 
-// relayInfoPath is where a relay says how it is.
+// relayInfoPath is where a relay serves its state.
 const relayInfoPath = "/v1/relay"
 
-// info asks a relay how it is.
+// info returns the state of a relay.
 func (c *control) info(ctx context.Context, one *zoneRelay) (*relayInfo, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+one.address+relayInfoPath, nil)
 	if err != nil {
@@ -260,30 +261,29 @@
 	return info, json.NewDecoder(response.Body).Decode(info)
 }
 
-// awaitRelay waits until a relay answers and has heard of the council. The caller
-// holds its mutex.
-func (c *control) awaitRelay(ctx context.Context, one *zoneRelay, within time.Duration) error {
-	for began := time.Now(); time.Since(began) < within; {
+// awaitRelay waits until a relay has contacted the cluster. The caller has locked its mu.
+func (c *control) awaitRelay(ctx context.Context, one *zoneRelay, timeout time.Duration) error {
+	for started := time.Now(); time.Since(started) < timeout; {
 		if info, err := c.info(ctx, one); err == nil && info.Ready {
 			return nil
 		}
 		if one.process == nil || !one.process.running() || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(askEvery)
+		time.Sleep(pollInterval)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	last := ""
+	output := ""
 	if one.process != nil {
-		last = ": " + one.process.tail.line()
+		output = ": " + one.process.tail.line()
 	}
-	return fmt.Errorf("%s: found it not ready within %v%s, wanted an answer", relayName(one.zone), within, last)
+	return fmt.Errorf("%s: found it not ready within %v%s, wanted a response", relayName(one.zone), timeout, output)
 }
 
-// look asks all relays how they are, and notes the peak of snapshots under way.
-func (c *control) look(ctx context.Context) {
+// pollRelays polls the states of all relays, and records the peak of snapshots in flight.
+func (c *control) pollRelays(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, one := range c.zones {
 		wg.Go(func() {
@@ -293,21 +293,21 @@
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.peak = max(c.peak, info.SnapshotsPeak)
+			c.peakSnapshots = max(c.peakSnapshots, info.SnapshotsPeak)
 		})
 	}
 	wg.Wait()
 }
 
-// snapshotsPeak is the most snapshots that any relay had under way.
+// snapshotsPeak returns the highest number of snapshots in flight at any relay.
 func (c *control) snapshotsPeak() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.peak
+	return c.peakSnapshots
 }
 
-// atFault notes that a relay was at fault since a moment, until now.
-func (c *control) atFault(zone int, since time.Duration) {
+// recordOutage records that a relay had a fault from a time until now.
+func (c *control) recordOutage(zone int, since time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outages = append(c.outages, Outage{Relay: zone, From: since, To: Now()})
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// injector carries out the faults of a run, each in a goroutine of its own.
+// injector injects the faults of a run, each in its own goroutine.
 type injector struct {
 	control *control
-	hollows *hollows
+	hollows *simulators
 
 	mu     sync.Mutex
 	errors []error
 }
 
-// run carries out faults at their moments and returns when all of them are over.
-func (i *injector) run(ctx context.Context, begin time.Duration, faults []Fault) {
+// run injects faults at their times and returns when all of them are over.
+func (i *injector) run(ctx context.Context, start time.Duration, faults []Fault) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := range faults {
 		fault := &faults[n]
-		if !sleepUntil(ctx, begin+fault.At) {
+		if !sleepUntil(ctx, start+fault.At) {
 			return
 		}
-		wg.Go(func() { i.strike(ctx, fault) })
+		wg.Go(func() { i.inject(ctx, fault) })
 	}
 }
 
-func (i *injector) strike(ctx context.Context, fault *Fault) {
+func (i *injector) inject(ctx context.Context, fault *Fault) {
 	var err error
 	switch fault.Kind {
 	case RelayKill, RelayTerm:
 		err = i.replaceRelay(ctx, fault)
-	case RelayStop:
-		err = i.stopRelay(ctx, fault)
-	case RelayCut:
-		err = i.cutRelay(ctx, fault)
+	case RelaySuspend:
+		err = i.suspendRelay(ctx, fault)
+	case RelayDisconnect:
+		err = i.disconnectRelay(ctx, fault)
 	case LeaderKill:
 		err = i.killLeader(ctx, fault)
 	case RackRestart, ZoneRestart, DayRestart:
-		err = i.hollows.restart(fault.Subscribers, restartWithin)
+		err = i.hollows.restart(fault.Subscribers, restartSpread)
 	}
 	if err == nil || ctx.Err() != nil {
 		return
@@ -58,56 +58,55 @@
 	return append([]error(nil), i.errors...)
 }
 
-// replaceRelay ends a relay, by SIGKILL or SIGTERM, and starts it again. It is at
-// fault until it answers again.
+// replaceRelay ends a relay, by SIGKILL or SIGTERM, and restarts it. The outage lasts until
+// it responds again.
 func (i *injector) replaceRelay(ctx context.Context, fault *Fault) error {
 	one := i.control.zones[fault.Relay]
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	since := Now()
-	defer func() { i.control.atFault(fault.Relay, since) }()
+	defer func() { i.control.recordOutage(fault.Relay, since) }()
 	if fault.Kind == RelayKill {
 		one.process.Kill()
-	} else if err := one.process.terminate(endWithin); err != nil {
+	} else if err := one.process.terminate(stopTimeout); err != nil {
 		return err
 	}
-	if !sleepUntil(ctx, since+fault.For) {
+	if !sleepUntil(ctx, since+fault.Duration) {
 		return ctx.Err()
 	}
 	if err := i.control.startRelay(one); err != nil {
 		return err
 	}
-	return i.control.awaitRelay(ctx, one, startWithin)
+	return i.control.awaitRelay(ctx, one, startTimeout)
 }
 
-// stopRelay stops a relay and wakes it.
-func (i *injector) stopRelay(ctx context.Context, fault *Fault) error {
+// suspendRelay suspends a relay and resumes it.
+func (i *injector) suspendRelay(ctx context.Context, fault *Fault) error {
 	one := i.control.zones[fault.Relay]
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	since := Now()
-	defer func() { i.control.atFault(fault.Relay, since) }()
+	defer func() { i.control.recordOutage(fault.Relay, since) }()
 	if err := one.process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	defer one.process.Signal(syscall.SIGCONT)
-	sleepUntil(ctx, since+fault.For)
-	return nil
+	sleepUntil(ctx, since+fault.Duration)
+	return one.process.Signal(syscall.SIGCONT)
 }
 
-// cutRelay cuts a relay off from all members of the council.
-func (i *injector) cutRelay(ctx context.Context, fault *Fault) error {
+// disconnectRelay blocks a relay's links to all members of the cluster.
+func (i *injector) disconnectRelay(ctx context.Context, fault *Fault) error {
 	one := i.control.zones[fault.Relay]
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	since := Now()
-	defer func() { i.control.atFault(fault.Relay, since) }()
+	defer func() { i.control.recordOutage(fault.Relay, since) }()
 	for _, link := range one.links {
 		if err := link.Cut(true, true); err != nil {
 			return err
 		}
 	}
-	sleepUntil(ctx, since+fault.For)
+	sleepUntil(ctx, since+fault.Duration)
 	for _, link := range one.links {
 		if err := link.Cut(false, false); err != nil {
 			return err
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// killLeader kills the member that leads, and starts it again.
+// killLeader kills the leader and restarts it.
 func (i *injector) killLeader(ctx context.Context, fault *Fault) error {
 	leader, err := i.control.awaitLeader(ctx)
 	if err != nil {
@@ -126,15 +125,15 @@
 	defer leader.mu.Unlock()
 	since := Now()
 	leader.process.Kill()
-	if !sleepUntil(ctx, since+fault.For) {
+	if !sleepUntil(ctx, since+fault.Duration) {
 		return ctx.Err()
 	}
 	return i.control.startMember(leader)
 }
 
-// sleepUntil waits for a moment by CLOCK_MONOTONIC; false if ctx ended first.
-func sleepUntil(ctx context.Context, moment time.Duration) bool {
-	timer := time.NewTimer(moment - Now())
+// sleepUntil waits until a time of Now; it returns false if ctx ended first.
+func sleepUntil(ctx context.Context, due time.Duration) bool {
+	timer := time.NewTimer(due - Now())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -15,11 +15,12 @@
 	Points           int
 }
 
-// minFitPoints is how few points give no interval: a line through two always fits.
+// minFitPoints is the lowest number of points with an interval: a line through two fits
+// exactly.
 const minFitPoints = 3
 
-// FitLine fits a line by least squares. The interval supposes errors that are
-// normal, independent and of one size.
+// FitLine fits a line by least squares. The interval assumes errors that are normal,
+// independent and of equal variance.
 func FitLine(sizes, values []float64) (Line, error) {
 	if len(sizes) != len(values) || len(sizes) < minFitPoints {
 		return Line{}, fmt.Errorf("fit: found %d sizes and %d values, wanted %d or more of both", len(sizes), len(values), minFitPoints)
@@ -36,38 +37,38 @@
 		squares += math.Pow(values[i]-line.At(size), 2)
 	}
 	deviation := math.Sqrt(squares / freedom / (spread * float64(len(sizes)-1)))
-	half := deviation * distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
-	line.Low, line.High = slope-half, slope+half
+	halfWidth := deviation * distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
+	line.Low, line.High = slope-halfWidth, slope+halfWidth
 	return line, nil
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Prediction is what a line over all sizes but the largest says of that one.
+// Prediction is the prediction of the largest size by a line over the other ones.
 type Prediction struct {
 	Predicted, Measured float64
 }
 
-// Ratio is predicted over measured.
+// Ratio returns predicted over measured.
 func (p Prediction) Ratio() float64 { return p.Predicted / p.Measured }
 
-// Bounds within which a prediction counts as good.
+// Limits of the ratio of a good prediction.
 const (
-	leastRatio = 0.8
-	mostRatio  = 1.25
+	minRatio = 0.8
+	maxRatio = 1.25
 )
 
-// Bends tells whether the line does not carry to the largest size.
-func (p Prediction) Bends() bool { return !(p.Ratio() >= leastRatio && p.Ratio() <= mostRatio) }
+// Bends reports whether the prediction is not a good one: the usage is not linear.
+func (p Prediction) Bends() bool { return !(p.Ratio() >= minRatio && p.Ratio() <= maxRatio) }
 
-// PredictLargest fits a line without the last size, which is the largest, and holds
-// what it says of that one against what was measured.
+// PredictLargest fits a line without the last size, which is the largest, and compares its
+// prediction of that one with the measured value.
 func PredictLargest(sizes, values []float64) (Prediction, error) {
-	last := len(sizes) - 1
-	if last < 0 || len(values) != len(sizes) {
+	largest := len(sizes) - 1
+	if largest < 0 || len(values) != len(sizes) {
 		return Prediction{}, fmt.Errorf("fit: found %d sizes and %d values, wanted as many of both", len(sizes), len(values))
 	}
-	line, err := FitLine(sizes[:last], values[:last])
-	return Prediction{Predicted: line.At(sizes[last]), Measured: values[last]}, err
+	line, err := FitLine(sizes[:largest], values[:largest])
+	return Prediction{Predicted: line.At(sizes[largest]), Measured: values[largest]}, err
 }
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -77,10 +77,10 @@
 	var runs []*Figures
 	for _, size := range []int{400, 800, 1600, 3200} {
 		n := float64(size)
-		runs = append(runs, &Figures{Sidecars: size, Used: map[Role]RoleUsage{
+		runs = append(runs, &Figures{Sidecars: size, Usage: map[Role]RoleUsage{
 			RoleSubscriber: {BytesPerSecond: 100 * n, Cores: 0.001 * n, Memory: 1000 + 50*n},
 			RoleRelay:      {BytesPerSecond: 110 * n, Cores: 1e-9 * n * n, Memory: 7},
-			RoleCouncil:    {BytesPerSecond: 5, Cores: 0.1, Memory: 9},
+			RoleCluster:    {BytesPerSecond: 5, Cores: 0.1, Memory: 9},
 		}})
 	}
 	fits, err := FitRuns(runs)
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -1,81 +1,81 @@
 package scale
 
 import (
+	"maps"
 	"slices"
 	"time"
 
 	"otterspring/internal/fleet/configuration"
 )
 
-// Change is one that the council has accepted. All moments are by CLOCK_MONOTONIC,
-// which the processes of a machine have in common.
+// Change is a change that the cluster has accepted. All times are those of Now.
 type Change struct {
 	Service  int
 	Version  configuration.Version
 	Accepted time.Duration
 }
 
-// Application is a subscriber's report that it has a version of a service in force.
-// Version 0 says that it has dropped the service.
+// Application is a subscriber's report that it has applied a version of a service.
+// Version 0 is the removal of the service.
 type Application struct {
 	At      time.Duration
 	Service int
 	Version configuration.Version
 }
 
-// Incarnation is a subscriber's time from a start to its end.
+// Incarnation is a subscriber's time from a start to its stop.
 type Incarnation struct {
-	Start, End time.Duration // End is 0 for one that has not ended
-	Applied    []Application // as they came
+	Start, End time.Duration // End is 0 if it has not stopped
+	Applied    []Application // in the order of their reports
 }
 
-// History is what one subscriber has reported.
+// History is the reports of one subscriber.
 type History struct {
 	Services     []int
 	Relays       []int
 	Incarnations []Incarnation
 }
 
-// Outage is a time in which a relay is at fault, by the rig's own doing.
+// Outage is the time of a fault that the rig has injected into a relay.
 type Outage struct {
 	Relay    int
 	From, To time.Duration
 }
 
-// Span is a time between two moments.
+// Span is the time from one time to another.
 type Span struct{ From, To time.Duration }
 
-// Record is all that is judged of a run.
+// Record has all reports and events of a run that are judged.
 type Record struct {
 	Subscribers []History
-	Changes     []Change // by the moment of acceptance
+	Changes     []Change // by their time of acceptance
 	Outages     []Outage
-	// Begin is when the clock began, End when the settling after the load was over.
-	Begin, End time.Duration
+	// Start is the start of the load, End the end of the settling time after it.
+	Start, End time.Duration
 }
 
-// Judgement is what a record shows.
+// Judgement is the result for a record.
 type Judgement struct {
-	InForce     []time.Duration // rising: from acceptance until in force, one for each change and subscriber
-	InForceMax  time.Duration   // also of changes that were not in force when a subscriber ended
-	Restarts    []time.Duration // rising: from a start until all that was accepted before is in force
-	Unreachable int             // subscribers that missed a change while all of their relays were at fault
-	BackMax     time.Duration   // from the end of that fault until the change was in force
-	Stale       int             // subscribers that lack the newest of a service at the end
-	Back        int             // versions that went back within an incarnation
-	BackOver    int             // versions that went back over a restart
+	Convergence        []time.Duration // sorted: from acceptance to application, one for each change and subscriber
+	ConvergenceMax     time.Duration   // also of changes that were not applied when a subscriber stopped
+	Restarts           []time.Duration // sorted: from a start until all earlier changes are applied
+	Unreachable        int             // subscribers that missed a change while all of their relays had a fault
+	RecoveryMax        time.Duration   // from the end of that fault until the change was applied
+	Stale              int             // subscribers that lack the newest version of a service at the end
+	Regressions        int             // versions that decreased within an incarnation
+	RestartRegressions int             // versions that decreased over a restart
 }
 
-// Judge computes what a record shows.
+// Judge computes the judgement of a record.
 func Judge(r *Record) *Judgement {
 	j := &judge{record: r, byService: map[int][]Change{}, faults: mergeOutages(r.Outages), result: &Judgement{}}
 	for _, change := range r.Changes {
 		j.byService[change.Service] = append(j.byService[change.Service], change)
 	}
 	for i := range r.Subscribers {
-		j.subscriber(&r.Subscribers[i])
+		j.judgeSubscriber(&r.Subscribers[i])
 	}
-	slices.Sort(j.result.InForce)
+	slices.Sort(j.result.Convergence)
 	slices.Sort(j.result.Restarts)
 	return j.result
 }
@@ -83,31 +83,32 @@
 type judge struct {
 	record    *Record
 	byService map[int][]Change
-	faults    map[int][]Span // of each relay, apart and rising
+	faults    map[int][]Span // of each relay, disjoint and sorted
 	result    *Judgement
 }
 
-func (j *judge) subscriber(h *History) {
-	exempt := j.unreachableSpans(h.Relays)
+// judgeSubscriber judges the reports of one subscriber.
+func (j *judge) judgeSubscriber(history *History) {
+	exempt := j.unreachableSpans(history.Relays)
 	newest := map[int]configuration.Version{} // over all incarnations
-	missed, stale := false, false
-	for i := range h.Incarnations {
-		incarnation := &h.Incarnations[i]
-		j.countBack(incarnation, newest)
+	unreachable, stale := false, false
+	for i := range history.Incarnations {
+		incarnation := &history.Incarnations[i]
+		j.countRegressions(incarnation, newest)
 		byService := map[int][]Application{}
 		for _, applied := range incarnation.Applied {
 			byService[applied.Service] = append(byService[applied.Service], applied)
 		}
-		whole := incarnation.Start
-		for _, service := range h.Services {
+		complete := incarnation.Start
+		for _, service := range history.Services {
 			one := serviceHistory{judge: j, incarnation: incarnation, applied: byService[service], changes: j.byService[service], exempt: exempt}
-			whole = max(whole, one.changesWithin())
-			missed = missed || one.missed
-			stale = stale || i == len(h.Incarnations)-1 && one.stale()
+			complete = max(complete, one.measureChanges())
+			unreachable = unreachable || one.unreachable
+			stale = stale || i == len(history.Incarnations)-1 && one.isStale()
 		}
-		j.restarted(incarnation, whole, exempt, &missed)
+		j.recordRestart(incarnation, complete, exempt, &unreachable)
 	}
-	if missed {
+	if unreachable {
 		j.result.Unreachable++
 	}
 	if stale {
@@ -115,40 +116,37 @@
 	}
 }
 
-// countBack counts the versions that went back, within an incarnation and over a
+// countRegressions counts the versions that decreased, within an incarnation and over a
 // restart.
-func (j *judge) countBack(incarnation *Incarnation, before map[int]configuration.Version) {
+func (j *judge) countRegressions(incarnation *Incarnation, before map[int]configuration.Version) {
 	newest := map[int]configuration.Version{}
 	for _, applied := range incarnation.Applied {
 		if applied.Version < newest[applied.Service] {
-			j.result.Back++
+			j.result.Regressions++
 		} else if newest[applied.Service] == 0 && applied.Version < before[applied.Service] {
-			j.result.BackOver++
+			j.result.RestartRegressions++
 		}
 		newest[applied.Service] = applied.Version
 	}
-	for service, version := range newest {
-		before[service] = version
-	}
+	maps.Copy(before, newest)
 }
 
-// restarted takes down how long an incarnation that began within the run took until
-// it had all that was accepted before it; whole is when that was so.
-func (j *judge) restarted(incarnation *Incarnation, whole time.Duration, exempt []Span, missed *bool) {
-	if incarnation.Start < j.record.Begin {
+// recordRestart records how long an incarnation that started within the run took until it
+// had applied all earlier changes, at the time complete.
+func (j *judge) recordRestart(incarnation *Incarnation, complete time.Duration, exempt []Span, unreachable *bool) {
+	if incarnation.Start < j.record.Start {
 		return
 	}
-	took, reached := j.measure(Span{incarnation.Start, whole}, exempt)
+	took, reached := j.measure(Span{incarnation.Start, complete}, exempt)
 	if reached {
 		j.result.Restarts = append(j.result.Restarts, took)
 		return
 	}
-	*missed = true
+	*unreachable = true
 }
 
-// measure tells how long a subscriber waited over a span. Where all of its relays
-// were at fault meanwhile, the time before and behind it count by themselves, and
-// reached is false.
+// measure returns how long a subscriber waited within a span. If all of its relays had a
+// fault meanwhile, the times before and after it count separately, and reached is false.
 func (j *judge) measure(span Span, exempt []Span) (took time.Duration, reached bool) {
 	took, reached = span.To-span.From, true
 	from := span.From
@@ -157,31 +155,31 @@
 			continue
 		}
 		if reached {
-			j.result.InForceMax = max(j.result.InForceMax, fault.From-from)
+			j.result.ConvergenceMax = max(j.result.ConvergenceMax, fault.From-from)
 		} else {
-			j.result.BackMax = max(j.result.BackMax, fault.From-from)
+			j.result.RecoveryMax = max(j.result.RecoveryMax, fault.From-from)
 		}
 		reached, from = false, fault.To
 	}
 	if !reached {
-		j.result.BackMax = max(j.result.BackMax, span.To-from)
+		j.result.RecoveryMax = max(j.result.RecoveryMax, span.To-from)
 		return 0, false
 	}
-	j.result.InForceMax = max(j.result.InForceMax, took)
+	j.result.ConvergenceMax = max(j.result.ConvergenceMax, took)
 	return took, true
 }
 
-// serviceHistory is what one incarnation shows of one service.
+// serviceHistory is the reports of one incarnation for one service.
 type serviceHistory struct {
 	judge       *judge
 	incarnation *Incarnation
 	applied     []Application
 	changes     []Change
 	exempt      []Span
-	missed      bool
+	unreachable bool
 }
 
-// end is when the incarnation ended, or the record.
+// end returns the end of the incarnation, or of the record.
 func (s *serviceHistory) end() time.Duration {
 	if s.incarnation.End > 0 {
 		return min(s.incarnation.End, s.judge.record.End)
@@ -189,11 +187,11 @@
 	return s.judge.record.End
 }
 
-// changesWithin measures each change that was accepted within the incarnation and the
-// run. It returns when the newest one from before the incarnation was in force; the
-// incarnation's start where there was none.
-func (s *serviceHistory) changesWithin() (whole time.Duration) {
-	whole = s.incarnation.Start
+// measureChanges measures each change that was accepted within the incarnation and the
+// run. It returns when the newest earlier change was applied; the incarnation's start if
+// there was none.
+func (s *serviceHistory) measureChanges() (complete time.Duration) {
+	complete = s.incarnation.Start
 	var before *Change
 	next := 0
 	for i := range s.changes {
@@ -205,32 +203,32 @@
 			before = change
 			continue
 		}
-		if change.Accepted < s.judge.record.Begin {
+		if change.Accepted < s.judge.record.Start {
 			continue
 		}
-		next = s.inForce(change.Version, next)
+		next = s.firstWith(change.Version, next)
 		s.measure(change, next)
 	}
 	if before == nil {
-		return whole
+		return complete
 	}
-	at := s.inForce(before.Version, 0)
+	at := s.firstWith(before.Version, 0)
 	if at == len(s.applied) {
 		return s.end()
 	}
-	return max(whole, s.applied[at].At)
+	return max(complete, s.applied[at].At)
 }
 
-// inForce is the number of the first application from a number on that has at least
-// a version; len(s.applied) for none.
-func (s *serviceHistory) inForce(version configuration.Version, from int) int {
+// firstWith returns the index of the first application, from an index on, that has at
+// least a version; len(s.applied) for none.
+func (s *serviceHistory) firstWith(version configuration.Version, from int) int {
 	for from < len(s.applied) && s.applied[from].Version < version {
 		from++
 	}
 	return from
 }
 
-// measure takes down when a change was in force, by the application at.
+// measure records when a change was applied, by the application at an index.
 func (s *serviceHistory) measure(change *Change, at int) {
 	span := Span{From: change.Accepted, To: s.end()}
 	found := at < len(s.applied)
@@ -240,14 +238,14 @@
 	took, reached := s.judge.measure(span, s.exempt)
 	switch {
 	case !reached:
-		s.missed = true
+		s.unreachable = true
 	case found:
-		s.judge.result.InForce = append(s.judge.result.InForce, took)
+		s.judge.result.Convergence = append(s.judge.result.Convergence, took)
 	}
 }
 
-// stale tells whether what is held at the end lacks the newest change.
-func (s *serviceHistory) stale() bool {
+// isStale reports whether the incarnation lacks the newest change at its end.
+func (s *serviceHistory) isStale() bool {
 	if len(s.changes) == 0 {
 		return false
 	}
@@ -255,7 +253,7 @@
 	return len(s.applied) == 0 || s.applied[len(s.applied)-1].Version < newest
 }
 
-// unreachableSpans are when all relays of a list were at fault.
+// unreachableSpans returns when all relays of a list had a fault.
 func (j *judge) unreachableSpans(relays []int) []Span {
 	var all []Span
 	for i, relay := range relays {
@@ -268,7 +266,7 @@
 	return all
 }
 
-// mergeOutages are the faults of each relay, those that overlap as one.
+// mergeOutages returns the faults of each relay, with overlapping ones merged.
 func mergeOutages(outages []Outage) map[int][]Span {
 	all := map[int][]Span{}
 	sorted := slices.SortedFunc(slices.Values(outages), func(a, b Outage) int { return int(a.From - b.From) })
@@ -283,7 +281,7 @@
 	return all
 }
 
-// intersect is when both of two lists of spans hold; each list is apart and rising.
+// intersect returns the common spans of two lists, which are disjoint and sorted.
 func intersect(a, b []Span) []Span {
 	var both []Span
 	for i, k := 0, 0; i < len(a) && k < len(b); {
@@ -300,10 +298,10 @@
 	return both
 }
 
-// Quantile is that of rising times; 0 of none.
-func Quantile(rising []time.Duration, q float64) time.Duration {
-	if len(rising) == 0 {
+// Quantile returns a quantile of sorted times; 0 of none.
+func Quantile(sorted []time.Duration, q float64) time.Duration {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return rising[min(len(rising)-1, int(q*float64(len(rising))))]
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -9,10 +9,10 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// at is a moment in tenths of a second.
+// at returns a time in tenths of a second.
 func at(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
 
-// applied is an application of service 0.
+// applied returns an application of service 0.
 func applied(tenths, version int) Application { return appliedOf(tenths, 0, version) }
 
 func appliedOf(tenths, service, version int) Application {
@@ -32,31 +32,31 @@
 		want         Judgement
 	}{
 		{
-			name:         "a change is in force after its acceptance",
+			name:         "a change is applied after its acceptance",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1), applied(25, 2)}}},
 			changes:      []Change{changed(1, 1), changed(20, 2)},
-			want:         Judgement{InForce: []time.Duration{at(5)}, InForceMax: at(5)},
+			want:         Judgement{Convergence: []time.Duration{at(5)}, ConvergenceMax: at(5)},
 		},
 		{
-			name:         "a newer version stands for one that was passed by",
+			name:         "a newer version includes one that was skipped",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(40, 3)}}},
 			changes:      []Change{changed(20, 2), changed(30, 3)},
-			want:         Judgement{InForce: []time.Duration{at(10), at(20)}, InForceMax: at(20)},
+			want:         Judgement{Convergence: []time.Duration{at(10), at(20)}, ConvergenceMax: at(20)},
 		},
 		{
-			name:         "in force before the answer came counts as at once",
+			name:         "a change that is applied before the response counts as immediate",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(19, 2)}}},
 			changes:      []Change{changed(20, 2)},
-			want:         Judgement{InForce: []time.Duration{0}},
+			want:         Judgement{Convergence: []time.Duration{0}},
 		},
 		{
-			name:         "what is never in force counts until the end, and is stale",
+			name:         "a change that is never applied counts until the end, and is stale",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1)}}},
 			changes:      []Change{changed(1, 1), changed(70, 2)},
-			want:         Judgement{InForceMax: at(30), Stale: 1},
+			want:         Judgement{ConvergenceMax: at(30), Stale: 1},
 		},
 		{
-			name:         "a change before the clock begins is not measured",
+			name:         "a change before the start is not measured",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(50, 1)}}},
 			changes:      []Change{changed(5, 1)},
 			want:         Judgement{},
@@ -68,71 +68,71 @@
 				{Start: at(31), Applied: []Application{applied(33, 2)}},
 			},
 			changes: []Change{changed(1, 1), changed(29, 2)},
-			want:    Judgement{InForceMax: at(2), Restarts: []time.Duration{at(2)}},
+			want:    Judgement{ConvergenceMax: at(2), Restarts: []time.Duration{at(2)}},
 		},
 		{
-			name: "one that ended too late without a change has missed it",
+			name: "a subscriber that stopped late without a change has missed it",
 			incarnations: []Incarnation{
 				{Start: at(1), End: at(70), Applied: []Application{applied(2, 1)}},
 				{Start: at(71), Applied: []Application{applied(72, 2)}},
 			},
 			changes: []Change{changed(1, 1), changed(20, 2)},
-			want:    Judgement{InForceMax: at(50), Restarts: []time.Duration{at(1)}},
+			want:    Judgement{ConvergenceMax: at(50), Restarts: []time.Duration{at(1)}},
 		},
 		{
-			name:         "with all relays at fault it counts from the end of the fault",
+			name:         "with faults of all relays it counts from the end of the fault",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1), applied(67, 2)}}},
 			changes:      []Change{changed(1, 1), changed(20, 2)},
 			outages:      []Outage{{Relay: 1, From: at(15), To: at(60)}, {Relay: 2, From: at(10), To: at(70)}},
-			want:         Judgement{Unreachable: 1, BackMax: at(7)},
+			want:         Judgement{Unreachable: 1, RecoveryMax: at(7)},
 		},
 		{
-			name:         "with one relay that is not at fault there is no excuse",
+			name:         "with one healthy relay the fault does not count",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1), applied(67, 2)}}},
 			changes:      []Change{changed(1, 1), changed(20, 2)},
 			outages:      []Outage{{Relay: 1, From: at(15), To: at(60)}},
-			want:         Judgement{InForce: []time.Duration{at(47)}, InForceMax: at(47)},
+			want:         Judgement{Convergence: []time.Duration{at(47)}, ConvergenceMax: at(47)},
 		},
 		{
-			name:         "the time before the fault counts all the same",
+			name:         "the time before the fault counts",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1), applied(72, 2)}}},
 			changes:      []Change{changed(1, 1), changed(15, 2)},
 			outages:      []Outage{{Relay: 1, From: at(60), To: at(70)}, {Relay: 2, From: at(60), To: at(70)}},
-			want:         Judgement{InForceMax: at(45), Unreachable: 1, BackMax: at(2)},
+			want:         Judgement{ConvergenceMax: at(45), Unreachable: 1, RecoveryMax: at(2)},
 		},
 		{
-			name:         "a fault that is over before a change is no excuse",
+			name:         "a fault that ends before a change does not count",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 1), applied(40, 2)}}},
 			changes:      []Change{changed(1, 1), changed(30, 2)},
 			outages:      []Outage{{Relay: 1, From: at(10), To: at(30)}, {Relay: 2, From: at(10), To: at(30)}},
-			want:         Judgement{InForce: []time.Duration{at(10)}, InForceMax: at(10)},
+			want:         Judgement{Convergence: []time.Duration{at(10)}, ConvergenceMax: at(10)},
 		},
 		{
-			name:         "a version that goes back within an incarnation",
+			name:         "a version that decreases within an incarnation",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 2), applied(12, 1), applied(13, 2)}}},
 			changes:      []Change{changed(1, 2)},
-			want:         Judgement{Back: 1},
+			want:         Judgement{Regressions: 1},
 		},
 		{
-			name:         "a service that is dropped has gone back",
+			name:         "a service that is removed counts as a decrease",
 			incarnations: []Incarnation{{Start: at(1), Applied: []Application{applied(2, 2), applied(12, 0)}}},
 			changes:      []Change{changed(1, 2)},
-			want:         Judgement{Back: 1, Stale: 1},
+			want:         Judgement{Regressions: 1, Stale: 1},
 		},
 		{
-			name: "a version that goes back over a restart",
+			name: "a version that decreases over a restart",
 			incarnations: []Incarnation{
 				{Start: at(1), End: at(5), Applied: []Application{applied(2, 2)}},
 				{Start: at(6), Applied: []Application{applied(7, 1), applied(8, 2)}},
 			},
 			changes: []Change{changed(1, 2)},
-			want:    Judgement{BackOver: 1},
+			want:    Judgement{RestartRegressions: 1},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			record := &Record{
 				Subscribers: []History{{Services: []int{0}, Relays: []int{1, 2}, Incarnations: c.incarnations}},
-				Changes:     c.changes, Outages: c.outages, Begin: at(10), End: at(100),
+				Changes:     c.changes, Outages: c.outages, Start: at(10), End: at(100),
 			}
 			if got := Judge(record); !reflect.DeepEqual(*got, c.want) {
 				t.Errorf("found %+v, wanted %+v", *got, c.want)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Only services that a subscriber has asked for count, each by itself.
+// Only the services of the subscription count, each separately.
 func TestJudgeBySubscription(t *testing.T) {
 	record := &Record{
 		Subscribers: []History{
@@ -150,15 +150,15 @@
 			{Services: []int{2}, Incarnations: []Incarnation{{Start: at(1)}}},
 		},
 		Changes: []Change{{Service: 0, Version: 2, Accepted: at(20)}, {Service: 1, Version: 3, Accepted: at(30)}},
-		Begin:   at(10), End: at(100),
+		Start:   at(10), End: at(100),
 	}
 	got := Judge(record)
-	if want := []time.Duration{at(1), at(3)}; !slices.Equal(got.InForce, want) || got.Stale != 0 {
-		t.Errorf("found %v in force and %d stale, wanted %v and none", got.InForce, got.Stale, want)
+	if want := []time.Duration{at(1), at(3)}; !slices.Equal(got.Convergence, want) || got.Stale != 0 {
+		t.Errorf("found %v applied and %d stale, wanted %v and none", got.Convergence, got.Stale, want)
 	}
 }
 
-func TestOutagesOfOneRelayAreJoined(t *testing.T) {
+func TestMergeOutages(t *testing.T) {
 	got := mergeOutages([]Outage{{1, at(5), at(7)}, {1, at(1), at(3)}, {1, at(2), at(4)}, {2, at(1), at(2)}})
 	want := map[int][]Span{1: {{at(1), at(4)}, {at(5), at(7)}}, 2: {{at(1), at(2)}}}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"sync"
@@ -13,22 +14,27 @@
 )
 
 const (
-	// changeWithin bounds how long a change is repeated whose outcome is not known.
-	changeWithin = 30 * time.Second
-	repeatAfter  = 50 * time.Millisecond
-	creators     = 8 // services that are created at a time
-	maxChanges   = 1024
-	maxFailures  = 20 // of which the words are kept
+	// changeTimeout limits the retries of a change whose outcome is unknown.
+	changeTimeout = 30 * time.Second
+	retryDelay    = 50 * time.Millisecond
+	creators      = 8 // services that are created concurrently
+	maxChanges    = 1024
+	maxFailures   = 20 // that are recorded
 
-	// One change of so many names the version that its service has, one an older
-	// version, which must be refused, and one is sent again once it was accepted.
-	compareEvery = 4
-	olderEvery   = 25
-	againEvery   = 20
+	// One of conditionalEvery changes has the current version as IfVersion, one of
+	// outdatedEvery an older one, which must be rejected, and one of duplicateEvery is sent
+	// again after it was accepted.
+	conditionalEvery = 4
+	outdatedEvery    = 25
+	duplicateEvery   = 20
 )
 
-// load makes changes of configuration through the council, each until its outcome is
-// known, and holds what the council has at the end against what it accepted.
+// errNoAttempt is the cause of an unknown outcome of a change that was not sent.
+var errNoAttempt = errors.New("no attempt")
+
+// load changes the configuration through the cluster, retries each change until its
+// outcome is known, and compares the cluster's resources at the end with the accepted
+// changes. It may be used by several goroutines.
 type load struct {
 	client   *client.Client
 	services []string
@@ -38,15 +44,15 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	edition   uint64
-	busy      []bool // services with a change under way
+	busy      []bool // services with a change in flight
 	newest    []configuration.Version
 	settings  [][]byte // of the newest
 	accepted  []Change
-	conflicts int // changes for an older version that were refused
-	// olderAccepted are changes for an older version that were not refused.
-	olderAccepted int
-	acceptMax     time.Duration
-	failures      []error
+	conflicts int // changes with an outdated IfVersion that were rejected
+	// outdatedAccepted is how many of these were accepted.
+	outdatedAccepted int
+	acceptMax        time.Duration
+	failures         []error
 }
 
 func newLoad(o *Options, t *Topology, addresses []string, watch *watchdog) *load {
@@ -78,43 +84,43 @@
 	}
 	close(numbers)
 	wg.Wait()
-	return firstError(append(l.failed(), ctx.Err())...)
+	return firstError(append(l.allFailures(), ctx.Err())...)
 }
 
-// createFirst creates the first service. A new council refuses changes until it
-// knows that all of its members can apply them.
+// createFirst creates the first service. A new cluster rejects changes until it knows that
+// all of its members support them.
 func (l *load) createFirst(ctx context.Context) error {
 	change := l.creation(0)
-	last := ""
-	for began := Now(); Now() < began+startWithin && ctx.Err() == nil; {
-		answer, err := l.ask(ctx, change)
-		if err == nil && answer.Rejection == "" && answer.Resource != nil {
-			l.answered(0, change, answer, false, Now())
+	rejection := ""
+	for started := Now(); Now() < started+startTimeout && ctx.Err() == nil; {
+		response, err := l.send(ctx, change)
+		if err == nil && response.Rejection == "" && response.Resource != nil {
+			l.handleResponse(0, change, response, false, Now())
 			return nil
 		}
 		if err == nil {
-			last = answer.Rejection
+			rejection = response.Rejection
 		}
-		time.Sleep(repeatAfter)
+		time.Sleep(retryDelay)
 	}
-	return firstError(ctx.Err(), fmt.Errorf("%s: found no change accepted within %v (%s), wanted one", change.Service, startWithin, last))
+	return firstError(ctx.Err(), fmt.Errorf("%s: found no change accepted within %v (%s), wanted one", change.Service, startTimeout, rejection))
 }
 
-// creation makes the change that creates a service.
+// creation returns the change that creates a service.
 func (l *load) creation(service int) *configuration.Change {
 	change := l.draw(service)
 	change.IfVersion = new(configuration.Version)
 	return change
 }
 
-// ask asks for a change once.
-func (l *load) ask(ctx context.Context, change *configuration.Change) (*client.Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, changeWithin)
+// send sends a change once.
+func (l *load) send(ctx context.Context, change *configuration.Change) (*client.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	return l.client.Do(ctx, client.Request{Kind: client.ChangeConfiguration, Change: change})
 }
 
-// firstError is the first of several that is one.
+// firstError returns the first error that is not nil.
 func firstError(all ...error) error {
 	for _, err := range all {
 		if err != nil {
@@ -124,21 +130,21 @@
 	return nil
 }
 
-// run makes changes at a pace until an end, and waits until the outcome of all is
+// run sends changes at a constant rate for a time, and waits until the outcome of all is
 // known.
-func (l *load) run(ctx context.Context, begin time.Duration, length time.Duration, perSecond float64) {
+func (l *load) run(ctx context.Context, start time.Duration, length time.Duration, perSecond float64) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	slots := make(chan bool, maxChanges)
 	for n := 0; n < int(perSecond*length.Seconds()); n++ {
-		due := begin + time.Duration(float64(n)/perSecond*float64(time.Second))
+		due := start + time.Duration(float64(n)/perSecond*float64(time.Second))
 		if !sleepUntil(ctx, due) {
 			return
 		}
-		l.watch.late(Now() - due)
-		service, found := l.free()
+		l.watch.recordDelay(Now() - due)
+		service, found := l.takeFreeService()
 		if !found {
-			l.fail(fmt.Errorf("change %d: found all %d services with a change under way, wanted one that is free", n, len(l.services)))
+			l.recordFailure(fmt.Errorf("change %d: found a change in flight for all %d services, wanted a free one", n, len(l.services)))
 			return
 		}
 		slots <- true
@@ -149,8 +155,8 @@
 	}
 }
 
-// free draws a service without a change under way and takes it.
-func (l *load) free() (service int, found bool) {
+// takeFreeService marks a random service without a change in flight as busy.
+func (l *load) takeFreeService() (service int, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := l.rng.IntN(len(l.busy))
@@ -163,23 +169,23 @@
 	return 0, false
 }
 
-// change makes one change of a service that was taken, and gives it back.
+// change sends one change of a busy service, and marks it as free.
 func (l *load) change(ctx context.Context, service int) {
 	change := l.draw(service)
 	l.mu.Lock()
 	version := l.newest[service]
-	older := version > 1 && l.rng.IntN(olderEvery) == 0
+	outdated := version > 1 && l.rng.IntN(outdatedEvery) == 0
 	switch {
-	case older:
+	case outdated:
 		version--
 		change.IfVersion = &version
-	case l.rng.IntN(compareEvery) == 0:
+	case l.rng.IntN(conditionalEvery) == 0:
 		change.IfVersion = &version
 	}
-	again := l.rng.IntN(againEvery) == 0
+	duplicate := l.rng.IntN(duplicateEvery) == 0
 	l.mu.Unlock()
-	l.submit(ctx, service, change, older)
-	if again && !older {
+	l.submit(ctx, service, change, outdated)
+	if duplicate && !outdated {
 		l.submit(ctx, service, change, false)
 	}
 	l.mu.Lock()
@@ -187,7 +193,7 @@
 	l.mu.Unlock()
 }
 
-// draw makes a change with settings of its own.
+// draw returns a change with unique settings.
 func (l *load) draw(service int) *configuration.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,46 +201,46 @@
 	return &configuration.Change{ID: fmt.Sprintf("change-%08d", l.edition), Service: l.services[service], Settings: SettingsText(service, l.edition, l.size)}
 }
 
-// submit asks for a change until its outcome is known. older says that it was made
-// for an older version, and must be refused.
-func (l *load) submit(ctx context.Context, service int, change *configuration.Change, older bool) {
-	began := Now()
-	var last error
-	for Now() < began+changeWithin && ctx.Err() == nil {
-		answer, err := l.ask(ctx, change)
+// submit sends a change until its outcome is known. outdated is true if its IfVersion
+// is an older one, so that it must be rejected.
+func (l *load) submit(ctx context.Context, service int, change *configuration.Change, outdated bool) {
+	started := Now()
+	attemptErr := errNoAttempt
+	for Now() < started+changeTimeout && ctx.Err() == nil {
+		response, err := l.send(ctx, change)
 		if err == nil {
-			l.answered(service, change, answer, older, began)
+			l.handleResponse(service, change, response, outdated, started)
 			return
 		}
-		last = err
-		time.Sleep(repeatAfter)
+		attemptErr = err
+		time.Sleep(retryDelay)
 	}
-	l.fail(fmt.Errorf("%s of %s: found no outcome within %v (%v), wanted one", change.ID, change.Service, changeWithin, last))
+	l.recordFailure(fmt.Errorf("%s of %s: found no outcome within %v (%w), wanted one", change.ID, change.Service, changeTimeout, attemptErr))
 }
 
-// answered takes the council's answer to a change.
-func (l *load) answered(service int, change *configuration.Change, answer *client.Response, older bool, began time.Duration) {
+// handleResponse processes the cluster's response to a change.
+func (l *load) handleResponse(service int, change *configuration.Change, response *client.Response, outdated bool, started time.Duration) {
 	now := Now()
-	refused := answer.Rejection != "" || answer.Resource == nil
+	rejected := response.Rejection != "" || response.Resource == nil
 	switch {
-	case refused && older && answer.Conflict:
+	case rejected && outdated && response.Conflict:
 		l.mu.Lock()
 		l.conflicts++
 		l.mu.Unlock()
 		return
-	case refused:
-		l.fail(fmt.Errorf("%s of %s: found it refused (%s), wanted it accepted", change.ID, change.Service, answer.Rejection))
+	case rejected:
+		l.recordFailure(fmt.Errorf("%s of %s: found it rejected (%s), wanted it accepted", change.ID, change.Service, response.Rejection))
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if older {
-		l.olderAccepted++
+	if outdated {
+		l.outdatedAccepted++
 	}
-	l.acceptMax = max(l.acceptMax, now-began)
-	version := answer.Resource.Version
+	l.acceptMax = max(l.acceptMax, now-started)
+	version := response.Resource.Version
 	if version == l.newest[service] && bytes.Equal(l.settings[service], change.Settings) {
-		return // the repeat of one that was accepted
+		return // a duplicate of an accepted one
 	}
 	l.accepted = append(l.accepted, Change{Service: service, Version: version, Accepted: now})
 	if version > l.newest[service] {
@@ -242,7 +248,7 @@
 	}
 }
 
-func (l *load) fail(err error) {
+func (l *load) recordFailure(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.failures) < maxFailures {
@@ -250,82 +256,83 @@
 	}
 }
 
-func (l *load) failed() []error {
+func (l *load) allFailures() []error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]error(nil), l.failures...)
 }
 
-// newestVersions are those that were accepted, by service.
+// newestVersions returns the newest accepted versions, by service.
 func (l *load) newestVersions() []configuration.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]configuration.Version(nil), l.newest...)
 }
 
-// changes are those that were accepted, in the order of their answers.
+// changes returns the accepted changes, in the order of their responses.
 func (l *load) changes() []Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Change(nil), l.accepted...)
 }
 
-func (l *load) acceptedSoFar() int {
+func (l *load) acceptedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.accepted)
 }
 
-// held reads what the council holds, as a majority knows it.
-func (l *load) held(ctx context.Context) ([]configuration.Resource, error) {
+// readResources returns the resources of all services, by linearizable reads.
+func (l *load) readResources(ctx context.Context) ([]configuration.Resource, error) {
 	all := make([]configuration.Resource, len(l.services))
 	for i, service := range l.services {
-		asking, cancel := context.WithTimeout(ctx, changeWithin)
-		answer, err := l.client.Do(asking, client.Request{Kind: client.ReadConfiguration, Service: service})
+		attempt, cancel := context.WithTimeout(ctx, changeTimeout)
+		response, err := l.client.Do(attempt, client.Request{Kind: client.ReadConfiguration, Service: service})
 		cancel()
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", service, err)
 		}
-		if answer.Resource != nil {
-			all[i] = *answer.Resource
+		if response.Resource != nil {
+			all[i] = *response.Resource
 		}
 	}
 	return all, nil
 }
 
-// compare holds what the council has against what it accepted: how many accepted
-// changes are missing, and how many versions were given out beyond one a change.
-func (l *load) compare(held []configuration.Resource) (lost, twice int) {
+// compare compares the cluster's resources with the accepted changes: it returns how many
+// accepted changes are missing, and how many versions were assigned beyond one per
+// change.
+func (l *load) compare(resources []configuration.Resource) (lost, duplicate int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return compareHeld(held, l.accepted, l.settings)
+	return compareResources(resources, l.accepted, l.settings)
 }
 
-// compareHeld is compare's computation; settings are the newest accepted of each
-// service.
-func compareHeld(held []configuration.Resource, accepted []Change, settings [][]byte) (lost, twice int) {
-	first, last := configuration.Version(0), configuration.Version(0)
-	newest := make([]configuration.Version, len(held))
-	given := map[configuration.Version]bool{}
+// compareResources is compare without the lock; settings are the newest accepted ones of
+// each service.
+func compareResources(resources []configuration.Resource, accepted []Change, settings [][]byte) (lost, duplicate int) {
+	lowest, highest := configuration.Version(0), configuration.Version(0)
+	newest := make([]configuration.Version, len(resources))
+	assigned := map[configuration.Version]bool{}
 	for _, change := range accepted {
-		if change.Version > held[change.Service].Version || given[change.Version] {
+		if change.Version > resources[change.Service].Version || assigned[change.Version] {
 			lost++
 		}
-		given[change.Version] = true
+		assigned[change.Version] = true
 		newest[change.Service] = max(newest[change.Service], change.Version)
-		if first == 0 || change.Version < first {
-			first = change.Version
+		if lowest == 0 || change.Version < lowest {
+			lowest = change.Version
 		}
-		last = max(last, change.Version)
+		highest = max(highest, change.Version)
 	}
-	for service := range held {
-		last = max(last, held[service].Version)
-		if held[service].Version == newest[service] && !bytes.Equal(held[service].Settings, settings[service]) {
+	for service := range resources {
+		highest = max(highest, resources[service].Version)
+		if resources[service].Version == newest[service] && !bytes.Equal(resources[service].Settings, settings[service]) {
 			lost++
 		}
 	}
-	if first == 0 {
-		return lost, twice
+	if lowest == 0 {
+		return lost, duplicate
 	}
-	return lost, max(0, int(last-first)+1-len(given))
+	return lost, max(0, int(highest-lowest)+1-len(assigned))
 }
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
 	Processor time.Duration
-	Memory    int64 // resident now, in bytes
+	Memory    int64 // resident, in bytes
 	Bytes     int64 // read and written, sockets and files
 }
 
@@ -25,7 +25,7 @@
 // processorTick is the unit of /proc/PID/stat.
 const processorTick = 10 * time.Millisecond
 
-// readUsage reads what a process has used from /proc.
+// readUsage reads the usage of a process from /proc.
 func readUsage(pid int) (Usage, error) {
 	var u Usage
 	folder := fmt.Sprintf("/proc/%d/", pid)
@@ -50,19 +50,19 @@
 	return u, nil
 }
 
-// keyedNumber finds the line that begins with a key and returns its number.
+// keyedNumber returns the number of the line that starts with a key; 0 if there is none.
 func keyedNumber(text []byte, key string) int64 {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
-		if rest, found := strings.CutPrefix(lines.Text(), key); found {
-			number, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
+		if value, found := strings.CutPrefix(lines.Text(), key); found {
+			number, _ := strconv.ParseInt(strings.Fields(value)[0], 10, 64)
 			return number
 		}
 	}
 	return 0
 }
 
-// availableMemory is what the machine can give to new processes.
+// availableMemory returns the memory for new processes, in bytes.
 func availableMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -71,7 +71,7 @@
 	return keyedNumber(text, "MemAvailable:") << 10, nil
 }
 
-// cores are the machine's processor times since its start, in ticks.
+// cores is the machine's processor time since its start, in ticks.
 type cores struct{ idle, all int64 }
 
 func readCores() cores {
@@ -95,7 +95,7 @@
 	return c
 }
 
-// idleSince is the share of the machine's cores that was idle since before.
+// idleSince returns the fraction of the machine's cores that was idle since before.
 func (c cores) idleSince(before cores) float64 {
 	if c.all <= before.all {
 		return 1
@@ -103,74 +103,74 @@
 	return float64(c.idle-before.idle) / float64(c.all-before.all)
 }
 
-// What makes a run void.
+// Limits beyond which a run is void.
 const (
-	pacerLate   = 200 * time.Millisecond // behind by more: the load was not the one that was asked for
-	standstill  = 2 * time.Second        // the rig or its machine stood still
-	leastIdle   = 0.02                   // with less, for busySeconds, the cores are used up
-	busySeconds = 3
-	watchEvery  = 50 * time.Millisecond
+	maxPacerDelay = 200 * time.Millisecond // with more the load was not the requested one
+	maxSuspension = 2 * time.Second        // of the rig or its machine
+	minIdle       = 0.02                   // fraction of the cores; with less for busySeconds they are saturated
+	busySeconds   = 3
+	watchInterval = 50 * time.Millisecond
 )
 
-// watchdog tells whether a run can be believed. Its methods may be called by
-// several goroutines.
+// watchdog detects whether a run is void, since the machine did not sustain the load. It
+// may be used by several goroutines.
 type watchdog struct {
-	mu        sync.Mutex
-	lateMost  time.Duration
-	idleLeast float64
-	busy      int // seconds in a row with idle cores below leastIdle
-	void      []string
+	mu       sync.Mutex
+	maxDelay time.Duration
+	minIdle  float64
+	busy     int // consecutive seconds with less than minIdle
+	void     []string
 }
 
-func newWatchdog() *watchdog { return &watchdog{idleLeast: 1} }
+func newWatchdog() *watchdog { return &watchdog{minIdle: 1} }
 
-// late notes by how much the pacer was behind.
-func (w *watchdog) late(by time.Duration) {
+// recordDelay records by how much the load was late.
+func (w *watchdog) recordDelay(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if by > pacerLate && w.lateMost <= pacerLate {
-		w.void = append(w.void, fmt.Sprintf("the pacer was %v behind, wanted %v at most", by.Round(time.Millisecond), pacerLate))
+	if delay > maxPacerDelay && w.maxDelay <= maxPacerDelay {
+		w.void = append(w.void, fmt.Sprintf("the load was %v late, wanted %v at most", delay.Round(time.Millisecond), maxPacerDelay))
 	}
-	w.lateMost = max(w.lateMost, by)
+	w.maxDelay = max(w.maxDelay, delay)
 }
 
-// idle notes the share of idle cores of a second.
-func (w *watchdog) idle(share float64) {
+// recordIdle records the fraction of idle cores of a second.
+func (w *watchdog) recordIdle(fraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.idleLeast = min(w.idleLeast, share)
-	if share >= leastIdle {
+	w.minIdle = min(w.minIdle, fraction)
+	if fraction >= minIdle {
 		w.busy = 0
 		return
 	}
 	w.busy++
 	if w.busy == busySeconds {
-		w.void = append(w.void, fmt.Sprintf("the cores were used up: found less than %.0f%% idle for %d s", 100*leastIdle, busySeconds))
+		w.void = append(w.void, fmt.Sprintf("the cores were saturated: found less than %.0f%% idle for %d s", 100*minIdle, busySeconds))
 	}
 }
 
-// stood notes for how long the rig stood still.
-func (w *watchdog) stood(still time.Duration) {
-	if still < standstill {
+// recordSuspension records for how long the rig was not scheduled.
+func (w *watchdog) recordSuspension(duration time.Duration) {
+	if duration < maxSuspension {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.void = append(w.void, fmt.Sprintf("the rig stood still for %v", still.Round(time.Millisecond)))
+	w.void = append(w.void, fmt.Sprintf("the rig was suspended for %v", duration.Round(time.Millisecond)))
 }
 
-// watch notes standstills until end is closed.
-func (w *watchdog) watch(end <-chan struct{}) {
-	tick := time.NewTicker(watchEvery)
+// watch detects suspensions until stop is closed.
+func (w *watchdog) watch(stop <-chan struct{}) {
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	for {
 		before := Now()
 		select {
-		case <-end:
+		case <-stop:
 			return
 		case <-tick.C:
 		}
-		w.stood(Now() - before - watchEvery)
+		w.recordSuspension(Now() - before - watchInterval)
 	}
 }
 
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"os/exec"
 	"strings"
@@ -14,18 +15,22 @@
 	"otterspring/internal/lab/rig"
 )
 
-// Role is what a process does in a run.
+// Role is the role of a process in a run.
 type Role string
 
 // The roles of processes.
 const (
-	RoleCouncil    Role = "council"
+	RoleCluster    Role = "council"
 	RoleRelay      Role = "relay"
 	RoleSubscriber Role = "subscriber"
 )
 
-// Process is one process that a run has started. It is in a session of its own, so
-// that a terminal's signals don't reach it, and is killed with the rig.
+// errExitCodeZero is the cause of a crash without an error of the process.
+var errExitCodeZero = errors.New("exit status 0")
+
+// Process is a process that a run has started. It has its own session, so that signals
+// of the terminal don't reach it, and is killed with the rig. A goroutine waits for its
+// end.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
@@ -33,9 +38,9 @@
 	done chan struct{}
 	err  error // after done
 
-	mu    sync.Mutex
-	usage Usage // the latest that was read
-	over  bool  // its end is asked for, or expected
+	mu       sync.Mutex
+	usage    Usage // last reading
+	expected bool  // its end is no crash
 }
 
 // startProcess starts a program. stdin and stdout may be nil.
@@ -67,44 +72,46 @@
 	close(p.done)
 }
 
-// Pid is its number.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal.
 func (p *Process) Signal(signal syscall.Signal) error { return p.cmd.Process.Signal(signal) }
 
-// Kill ends it outright, also one that is stopped, and waits for its end.
+// Kill ends the process by SIGKILL, also a suspended one, and waits for its end.
 func (p *Process) Kill() {
-	p.expectEnd()
-	p.cmd.Process.Kill()
+	p.expectExit()
+	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		slog.Warn("process not killed", "process", p.Name, "error", err)
+	}
 	<-p.done
 }
 
-// expectEnd notes that its end is no crash.
-func (p *Process) expectEnd() {
+// expectExit records that the process' end is no crash.
+func (p *Process) expectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.expected = true
 }
 
-// terminate sends SIGTERM and waits for its end, for a while.
-func (p *Process) terminate(within time.Duration) error {
-	p.expectEnd()
+// terminate sends SIGTERM and waits for the process' end.
+func (p *Process) terminate(timeout time.Duration) error {
+	p.expectExit()
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	select {
 	case <-p.done:
-	case <-time.After(within):
-		return fmt.Errorf("%s: found it running %v after SIGTERM, wanted its end", p.Name, within)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s: found it running %v after SIGTERM, wanted its end", p.Name, timeout)
 	}
 	if p.err != nil {
-		return fmt.Errorf("%s: ended on SIGTERM with %v: %s, wanted no error", p.Name, p.err, p.tail.line())
+		return fmt.Errorf("%s: ended on SIGTERM with %w: %s, wanted no error", p.Name, p.err, p.tail.line())
 	}
 	return nil
 }
 
-// crash is its end that nobody asked for; nil for none.
+// crash returns an error if the process has ended unexpectedly.
 func (p *Process) crash() error {
 	select {
 	case <-p.done:
@@ -113,13 +120,17 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.expected {
 		return nil
 	}
-	return fmt.Errorf("%s: ended by itself with %v: %s", p.Name, p.err, p.tail.line())
+	cause := p.err
+	if cause == nil {
+		cause = errExitCodeZero
+	}
+	return fmt.Errorf("%s: ended unexpectedly with %w: %s", p.Name, cause, p.tail.line())
 }
 
-// measure reads what it has used; what was read last, where it has ended.
+// measure returns the resource usage; the last reading if the process has ended.
 func (p *Process) measure() Usage {
 	read, err := readUsage(p.Pid())
 	p.mu.Lock()
@@ -143,10 +154,10 @@
 	}
 }
 
-// mostTail bounds what is kept of a process's last words.
-const mostTail = 4 << 10
+// maxTailBytes limits the tail of a process' output.
+const maxTailBytes = 4 << 10
 
-// tail keeps the last that a process wrote.
+// tail is the end of a process' output. It may be used by several goroutines.
 type tail struct {
 	mu   sync.Mutex
 	text []byte
@@ -156,13 +167,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	if over := len(t.text) - mostTail; over > 0 {
-		t.text = t.text[over:]
+	if excess := len(t.text) - maxTailBytes; excess > 0 {
+		t.text = t.text[excess:]
 	}
 	return len(p), nil
 }
 
-// line is the last line that was written.
+// line returns the last line.
 func (t *tail) line() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,7 +181,8 @@
 	return lines[len(lines)-1]
 }
 
-// group is all processes of a role, those that have ended, too.
+// group is all processes of a role, including those that have ended. It may be used by
+// several goroutines.
 type group struct {
 	mu  sync.Mutex
 	all []*Process
@@ -188,7 +200,7 @@
 	return append([]*Process(nil), g.all...)
 }
 
-// measure adds up what all have used. Memory is that of those that run.
+// measure returns the sum of the resource usage, and how many run.
 func (g *group) measure() (sum Usage, running int) {
 	for _, p := range g.processes() {
 		sum = sum.plus(p.measure())
@@ -199,7 +211,7 @@
 	return sum, running
 }
 
-// crashes are the ends that nobody asked for.
+// crashes returns the unexpected ends.
 func (g *group) crashes() []error {
 	var all []error
 	for _, p := range g.processes() {
@@ -210,7 +222,7 @@
 	return all
 }
 
-// kill ends all.
+// kill ends all processes.
 func (g *group) kill() {
 	var wg sync.WaitGroup
 	for _, p := range g.processes() {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -11,21 +11,21 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// ReportKind is what a record of a hollow process tells.
+// ReportKind is the kind of a simulator's report.
 type ReportKind uint8
 
-// The kinds of record, and what their fields hold beside At.
+// The kinds of report, with their fields beyond At.
 const (
-	ReportReady   ReportKind = iota + 1 // the process is up; then: its subscribers are known
-	ReportStart                         // Subscriber has started
-	ReportEnd                           // Subscriber has ended
-	ReportApplied                       // Subscriber has Value, a version, of Service in force; 0 for dropped
-	ReportBytes                         // Value bytes went over all connections within a second
-	ReportWorst                         // Value bytes were the most of any, those of Subscriber
-	ReportDone                          // the process ends now
+	ReportReady    ReportKind = iota + 1 // the process has started, and again once it has its subscribers
+	ReportStarted                        // Subscriber has started
+	ReportStopped                        // Subscriber has stopped
+	ReportApplied                        // Subscriber has applied Value, a version of Service; 0 if it removed it
+	ReportBytes                          // Value bytes of all connections within a second
+	ReportMaxBytes                       // Value bytes of Subscriber, the most of any
+	ReportDone                           // the process ends
 )
 
-// Report is one record.
+// Report is a message from a simulator to the rig.
 type Report struct {
 	Kind       ReportKind
 	Service    uint16
@@ -34,12 +34,13 @@
 	At         time.Duration
 }
 
-// NotSubscribed is the Service of an application that the subscriber did not ask for.
+// NotSubscribed is the Service of a report for a service that the subscriber does not
+// subscribe to.
 const NotSubscribed = 1<<16 - 1
 
 const reportBytes = 1 + 2 + 4 + 8 + 8
 
-// Append writes a record behind text.
+// Append appends the encoded report to text.
 func (r *Report) Append(text []byte) []byte {
 	text = append(text, byte(r.Kind))
 	text = binary.LittleEndian.AppendUint16(text, r.Service)
@@ -48,7 +49,7 @@
 	return binary.LittleEndian.AppendUint64(text, uint64(r.At))
 }
 
-// ReadReport reads one record; io.EOF where there is none any more.
+// ReadReport reads one report; io.EOF at the end.
 func ReadReport(in io.Reader) (Report, error) {
 	var text [reportBytes]byte
 	if _, err := io.ReadFull(in, text[:]); err != nil {
@@ -67,37 +68,38 @@
 	return r, nil
 }
 
-// Version is Value as that of a resource.
+// Version returns Value as a version.
 func (r *Report) Version() configuration.Version { return configuration.Version(r.Value) }
 
-// Order is what the rig tells a hollow process, one JSON object a line.
-type Order struct {
-	Spec *HollowSpec `json:"spec,omitempty"` // the first order
-	// Start and Restart name subscribers by their number within the process; each is
-	// started at a drawn moment within WithinMS.
+// Command is a message from the rig to a simulator, one JSON object a line.
+type Command struct {
+	Spec *SimulatorSpec `json:"spec,omitempty"` // in the first command only
+	// Start and Restart are subscribers by their number within the process; each is
+	// started at a random time within WithinMS milliseconds.
 	Start    []int `json:"start,omitempty"`
 	Restart  []int `json:"restart,omitempty"`
 	WithinMS int   `json:"within_ms,omitempty"`
-	End      bool  `json:"end,omitempty"`
+	Stop     bool  `json:"end,omitempty"`
 }
 
-// HollowSpec is what the subscribers of a process are.
-type HollowSpec struct {
-	Region      string             `json:"region"`
-	Seed        uint64             `json:"seed"`
-	Relays      []string           `json:"relays"`
-	Services    []string           `json:"services"`
-	Subscribers []HollowSubscriber `json:"subscribers"`
+// SimulatorSpec describes the subscribers of a simulator.
+type SimulatorSpec struct {
+	Region      string           `json:"region"`
+	Seed        uint64           `json:"seed"`
+	Relays      []string         `json:"relays"`
+	Services    []string         `json:"services"`
+	Subscribers []SubscriberSpec `json:"subscribers"`
 }
 
-// HollowSubscriber is one of them; relays and services by number.
-type HollowSubscriber struct {
+// SubscriberSpec describes one of them; Relays and Services are indexes of its
+// SimulatorSpec's.
+type SubscriberSpec struct {
 	Name     string `json:"name"`
 	Relays   []int  `json:"relays"`
 	Services []int  `json:"services"`
 }
 
-// Now is the moment by CLOCK_MONOTONIC.
+// Now returns the time of CLOCK_MONOTONIC, which the processes of a machine share.
 func Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"os"
 	"sync"
 	"time"
@@ -10,62 +11,66 @@
 	"otterspring/internal/lab/rig"
 )
 
-var roles = []Role{RoleSubscriber, RoleRelay, RoleCouncil}
+var roles = []Role{RoleSubscriber, RoleRelay, RoleCluster}
 
 const (
-	settleFor       = 4 * time.Second
-	warmUp          = time.Second     // between the last subscriber's first snapshot and the load
-	startsPerSecond = 2000            // of subscribers, before the clock begins
-	holdWithin      = 2 * time.Minute // all subscribers hold all, before the clock begins
-	sampleEvery     = time.Second
-	lookEvery       = 200 * time.Millisecond // at who holds all, before the clock begins
+	settleTime          = 4 * time.Second
+	warmUp              = time.Second     // between the last subscriber's first snapshot and the load
+	startsPerSecond     = 2000            // of subscribers, before the load
+	initialSyncTimeout  = 2 * time.Minute // until all subscribers have all services, before the load
+	sampleInterval      = time.Second
+	initialSyncInterval = 200 * time.Millisecond // of checks for that
 )
 
-// Run plays a run and returns what it came to. Its processes have ended when it
-// returns.
-func Run(ctx context.Context, o *Options) (*Figures, error) {
+// Run runs the load and returns its figures. Its processes have ended when it returns. The
+// error wraps ErrOptions if the options are not valid.
+func Run(ctx context.Context, options *Options) (*Figures, error) {
 	limits, err := MachineLimits()
 	if err != nil {
 		return nil, err
 	}
-	if err := o.Check(limits); err != nil {
+	if err := options.Validate(limits); err != nil {
 		return nil, err
 	}
-	reaper, err := rig.StartReaper(o.Programs.Self)
+	reaper, err := rig.StartReaper(options.Programs.Self)
 	if err != nil {
 		return nil, err
 	}
 	defer reaper.Close()
-	reaper.Remove(o.Directory)
-	directory, err := os.MkdirTemp(o.Directory, "run-")
+	reaper.Remove(options.Directory)
+	directory, err := os.MkdirTemp(options.Directory, "run-")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(directory)
-	r := &run{o: o, topology: NewTopology(o), reaper: reaper, directory: directory, watch: newWatchdog(), begin: Now(), idle: 1}
+	defer func() {
+		if err := os.RemoveAll(directory); err != nil {
+			slog.Warn("folder of the run not removed", "error", err)
+		}
+	}()
+	r := &run{options: options, topology: NewTopology(options), reaper: reaper, directory: directory, watch: newWatchdog(), start: Now(), idle: 1}
 	defer r.close()
-	if err := r.prepare(ctx, o.perProcess(limits)); err != nil {
+	if err := r.prepare(ctx, options.subscribersPerProcess(limits)); err != nil {
 		return nil, err
 	}
 	return r.play(ctx)
 }
 
-// run is one run under way.
+// run is a run in progress.
 type run struct {
-	o         *Options
+	options   *Options
 	topology  *Topology
 	reaper    *rig.Reaper
 	directory string
 	control   *control
-	hollows   *hollows
+	hollows   *simulators
 	sidecars  *sidecars
 	load      *load
 	watch     *watchdog
 
 	mu        sync.Mutex // guards the following
 	phase     string
-	begin     time.Duration // of the run, then of the load
-	memory    int64         // of all processes, the most
+	start     time.Duration // of the run, then of the load
+	memory    int64         // highest, of all processes together
 	processes int
 	idle      float64
 	samples   map[Role][]Usage
@@ -86,139 +91,139 @@
 	}
 }
 
-func (r *run) enter(phase string) {
+func (r *run) setPhase(phase string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase = phase
 }
 
-// prepare starts all processes and waits until every subscriber holds every service.
+// prepare starts all processes and waits until each subscriber has all of its services.
 func (r *run) prepare(ctx context.Context, perProcess int) (err error) {
 	r.samples = map[Role][]Usage{}
-	r.enter("starts")
-	if r.control, err = newControl(r.o, r.directory, r.reaper); err != nil {
+	r.setPhase("starts")
+	if r.control, err = newControl(r.options, r.directory, r.reaper); err != nil {
 		return err
 	}
 	if err := r.control.start(ctx); err != nil {
 		return err
 	}
-	r.load = newLoad(r.o, r.topology, r.control.memberAddresses(), r.watch)
+	r.load = newLoad(r.options, r.topology, r.control.memberAddresses(), r.watch)
 	if err := r.load.create(ctx); err != nil {
 		return err
 	}
-	if r.sidecars, err = startSidecars(ctx, r.o, r.directory, r.topology, r.control.relayAddresses()); err != nil {
+	if r.sidecars, err = startSidecars(ctx, r.options, r.directory, r.topology, r.control.relayAddresses()); err != nil {
 		return err
 	}
-	if r.hollows, err = startHollows(r.o, r.topology, r.control.relayAddresses(), perProcess, r.reaper); err != nil {
+	if r.hollows, err = startSimulators(r.options, r.topology, r.control.relayAddresses(), perProcess, r.reaper); err != nil {
 		return err
 	}
-	within := time.Duration(float64(r.o.Sidecars) / startsPerSecond * float64(time.Second))
-	if err := r.hollows.startAll(within); err != nil {
+	spread := time.Duration(float64(r.options.Sidecars) / startsPerSecond * float64(time.Second))
+	if err := r.hollows.startAll(spread); err != nil {
 		return err
 	}
-	return r.awaitHeld(ctx, holdWithin)
+	return r.awaitAllVersions(ctx, initialSyncTimeout)
 }
 
-// awaitHeld waits until all subscribers hold the newest of all their services.
-func (r *run) awaitHeld(ctx context.Context, within time.Duration) error {
+// awaitAllVersions waits until all subscribers have the newest versions of their services.
+func (r *run) awaitAllVersions(ctx context.Context, timeout time.Duration) error {
 	newest := r.load.newestVersions()
-	for began := Now(); ; r.report() {
-		lacking := r.hollows.lacking(newest)
-		if lacking == 0 {
+	for started := Now(); ; r.report() {
+		behind := r.hollows.behindCount(newest)
+		if behind == 0 {
 			return nil
 		}
 		if err := firstError(r.crashes()...); err != nil {
 			return err
 		}
-		if Now() > began+within {
-			return fmt.Errorf("start: found %d of %d subscribers without all services after %v, wanted none", lacking, r.o.Sidecars, within)
+		if Now() > started+timeout {
+			return fmt.Errorf("start: found %d of %d subscribers without all services after %v, wanted none", behind, r.options.Sidecars, timeout)
 		}
-		if !sleepUntil(ctx, Now()+lookEvery) {
+		if !sleepUntil(ctx, Now()+initialSyncInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
 func (r *run) crashes() []error {
-	all := append(r.control.council.crashes(), r.control.relays.crashes()...)
+	all := append(r.control.clusterProcesses.crashes(), r.control.relayProcesses.crashes()...)
 	return append(all, r.hollows.processes.crashes()...)
 }
 
-// play plays the load and the faults, waits for what settles, and judges.
+// play runs the load and the faults, waits for the settling time, and judges.
 func (r *run) play(ctx context.Context) (*Figures, error) {
 	if !sleepUntil(ctx, Now()+warmUp) {
 		return nil, ctx.Err()
 	}
 	var watching sync.WaitGroup
-	end := make(chan struct{})
-	stopWatching := sync.OnceFunc(func() { close(end); watching.Wait() })
+	stop := make(chan struct{})
+	stopWatching := sync.OnceFunc(func() { close(stop); watching.Wait() })
 	defer stopWatching()
-	watching.Go(func() { r.watch.watch(end) })
-	begin := Now()
+	watching.Go(func() { r.watch.watch(stop) })
+	start := Now()
 	r.mu.Lock()
-	r.phase, r.begin = "load", begin
+	r.phase, r.start = "load", start
 	r.mu.Unlock()
 	before := r.measureRoles()
-	watching.Go(func() { r.sample(ctx, end) })
+	watching.Go(func() { r.sample(ctx, stop) })
 
 	inject := &injector{control: r.control, hollows: r.hollows}
 	var playing sync.WaitGroup
-	playing.Go(func() { r.load.run(ctx, begin, r.o.For, r.o.ChangesPerSecond) })
-	playing.Go(func() { r.sidecars.run(ctx, r.o.For) })
-	if r.o.Faults {
-		playing.Go(func() { inject.run(ctx, begin, DrawFaults(r.o, r.topology)) })
+	playing.Go(func() { r.load.run(ctx, start, r.options.Duration, r.options.ChangesPerSecond) })
+	playing.Go(func() { r.sidecars.run(ctx, r.options.Duration) })
+	if r.options.Faults {
+		playing.Go(func() { inject.run(ctx, start, DrawFaults(r.options, r.topology)) })
 	}
-	sleepUntil(ctx, begin+r.o.For)
-	window := Span{begin, Now()}
+	sleepUntil(ctx, start+r.options.Duration)
+	window := Span{start, Now()}
 	after := r.measureRoles()
 	playing.Wait()
-	r.enter("settles")
-	if !sleepUntil(ctx, Now()+settleFor) {
+	r.setPhase("settles")
+	if !sleepUntil(ctx, Now()+settleTime) {
 		return nil, ctx.Err()
 	}
-	f := r.figures(window, before, after)
-	f.Failures = append(f.Failures, inject.failures()...)
+	figures := r.figures(window, before, after)
+	figures.Failures = append(figures.Failures, inject.failures()...)
 	stopWatching()
-	if err := r.finish(ctx, f, begin); err != nil {
+	if err := r.finish(ctx, figures, start); err != nil {
 		return nil, err
 	}
-	return f, ctx.Err()
+	return figures, ctx.Err()
 }
 
-// measureRoles is what the processes of each role have used so far.
+// measureRoles returns the resource usage of each role's processes so far.
 func (r *run) measureRoles() map[Role]Usage {
 	all := map[Role]Usage{}
-	all[RoleCouncil], _ = r.control.council.measure()
-	all[RoleRelay], _ = r.control.relays.measure()
+	all[RoleCluster], _ = r.control.clusterProcesses.measure()
+	all[RoleRelay], _ = r.control.relayProcesses.measure()
 	all[RoleSubscriber], _ = r.hollows.processes.measure()
 	return all
 }
 
-// sample looks at the machine and at all processes once a second.
-func (r *run) sample(ctx context.Context, end <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+// sample samples the machine and all processes once per second.
+func (r *run) sample(ctx context.Context, stop <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	before := readCores()
 	for {
 		select {
-		case <-end:
+		case <-stop:
 			return
 		case <-tick.C:
 		}
 		now := readCores()
 		idle := now.idleSince(before)
 		before = now
-		r.watch.idle(idle)
-		r.takeSample(idle)
-		r.control.look(ctx)
+		r.watch.recordIdle(idle)
+		r.recordSample(idle)
+		r.control.pollRelays(ctx)
 		r.report()
 	}
 }
 
-// takeSample adds up the memory of all processes, the rig's own and the reaper's too.
-func (r *run) takeSample(idle float64) {
-	council, members := r.control.council.measure()
-	relays, relaysRunning := r.control.relays.measure()
+// recordSample records the memory of all processes, with the rig and its reaper.
+func (r *run) recordSample(idle float64) {
+	council, members := r.control.clusterProcesses.measure()
+	relays, relaysRunning := r.control.relayProcesses.measure()
 	subscribers, hollowRunning := r.hollows.processes.measure()
 	sidecars, sidecarsRunning := r.sidecars.measure()
 	own, _ := readUsage(os.Getpid())
@@ -228,49 +233,49 @@
 	r.idle = idle
 	r.memory = max(r.memory, council.Memory+relays.Memory+subscribers.Memory+sidecars.Memory+own.Memory+reaper.Memory)
 	r.processes = max(r.processes, members+relaysRunning+hollowRunning+sidecarsRunning+2)
-	r.samples[RoleCouncil] = append(r.samples[RoleCouncil], council)
+	r.samples[RoleCluster] = append(r.samples[RoleCluster], council)
 	r.samples[RoleRelay] = append(r.samples[RoleRelay], relays)
 	r.samples[RoleSubscriber] = append(r.samples[RoleSubscriber], subscribers)
 }
 
-// report tells how the run goes.
+// report calls Progress.
 func (r *run) report() {
-	if r.o.Progress == nil {
+	if r.options.Progress == nil {
 		return
 	}
 	r.mu.Lock()
-	p := Progress{Phase: r.phase, Idle: r.idle, Elapsed: Now() - r.begin}
+	progress := Progress{Phase: r.phase, Idle: r.idle, Elapsed: Now() - r.start}
 	r.mu.Unlock()
-	p.Changes = r.load.acceptedSoFar()
-	r.o.Progress(p)
+	progress.Changes = r.load.acceptedCount()
+	r.options.Progress(progress)
 }
 
-// figures are those that are known before the processes have ended.
+// figures returns the figures that are known before the processes have ended.
 func (r *run) figures(window Span, before, after map[Role]Usage) *Figures {
 	length := (window.To - window.From).Seconds()
-	subscribers := float64(r.o.Sidecars)
-	f := &Figures{Seed: r.o.Seed, Sidecars: r.o.Sidecars, Real: r.o.Real, SnapshotsAllowed: r.o.SnapshotsAtOnce, Used: map[Role]RoleUsage{}}
+	subscribers := float64(r.options.Sidecars)
+	figures := &Figures{Seed: r.options.Seed, Sidecars: r.options.Sidecars, Real: r.options.Real, MaxSnapshots: r.options.MaxSnapshots, Usage: map[Role]RoleUsage{}}
 	r.mu.Lock()
-	f.Processes, f.MemoryBytes = r.processes, r.memory
+	figures.Processes, figures.MemoryBytes = r.processes, r.memory
 	for _, role := range roles {
-		f.Used[role] = RoleUsage{
+		figures.Usage[role] = RoleUsage{
 			BytesPerSecond: float64(after[role].Bytes-before[role].Bytes) / length,
 			Cores:          (after[role].Processor - before[role].Processor).Seconds() / length,
 			Memory:         meanMemory(r.samples[role]),
 		}
 	}
 	r.mu.Unlock()
-	sum, worst := r.hollows.bytes(window)
-	used := f.Used[RoleSubscriber]
-	used.BytesPerSecond = float64(sum) / length
-	f.Used[RoleSubscriber] = used
-	f.BytesPerSidecar, f.WorstBytes = used.BytesPerSecond/subscribers, float64(worst)
-	f.ProcessorShare = used.Cores / subscribers
-	f.BytesOfMemoryPerSidecar = (used.Memory - float64(r.hollows.base)) / subscribers
-	f.RelayCoresPer1000 = f.Used[RoleRelay].Cores / ((subscribers + float64(r.o.Real)) / 1000)
-	f.CouncilCores = f.Used[RoleCouncil].Cores
-	f.SnapshotsAtOnce = r.control.snapshotsPeak()
-	return f
+	sum, worst := r.hollows.traffic(window)
+	usage := figures.Usage[RoleSubscriber]
+	usage.BytesPerSecond = float64(sum) / length
+	figures.Usage[RoleSubscriber] = usage
+	figures.BytesPerSidecar, figures.WorstBytesPerSecond = usage.BytesPerSecond/subscribers, float64(worst)
+	figures.ProcessorShare = usage.Cores / subscribers
+	figures.MemoryPerSidecar = (usage.Memory - float64(r.hollows.baseMemory)) / subscribers
+	figures.RelayCoresPer1000 = figures.Usage[RoleRelay].Cores / ((subscribers + float64(r.options.Real)) / 1000)
+	figures.ClusterCores = figures.Usage[RoleCluster].Cores
+	figures.PeakSnapshots = r.control.snapshotsPeak()
+	return figures
 }
 
 func meanMemory(samples []Usage) float64 {
@@ -281,43 +286,43 @@
 	return sum / float64(max(1, len(samples)))
 }
 
-// finish ends the subscribers, reads what the council holds and judges all.
-func (r *run) finish(ctx context.Context, f *Figures, begin time.Duration) error {
+// finish stops the subscribers, reads the cluster's resources and adds the judgement.
+func (r *run) finish(ctx context.Context, figures *Figures, start time.Duration) error {
 	settled := Now()
-	f.Failures = append(f.Failures, r.crashes()...)
-	f.Failures = append(f.Failures, r.load.failed()...)
-	held, err := r.load.held(ctx)
+	figures.Failures = append(figures.Failures, r.crashes()...)
+	figures.Failures = append(figures.Failures, r.load.allFailures()...)
+	resources, err := r.load.readResources(ctx)
 	if err != nil {
 		return err
 	}
-	f.Lost, f.Twice = r.load.compare(held)
-	r.sidecars.finish(f, r.load.newestVersions())
-	if err := r.hollows.end(); err != nil {
+	figures.LostChanges, figures.DuplicateVersions = r.load.compare(resources)
+	r.sidecars.finish(figures, r.load.newestVersions())
+	if err := r.hollows.stop(); err != nil {
 		return err
 	}
 	changes := r.load.changes()
-	record := &Record{Changes: changes, Outages: r.control.allOutages(), Begin: begin, End: settled}
-	record.Subscribers, f.Unasked = r.hollows.allHistories()
+	record := &Record{Changes: changes, Outages: r.control.allOutages(), Start: start, End: settled}
+	record.Subscribers, figures.Unsubscribed = r.hollows.allHistories()
 	for _, change := range changes {
-		if change.Accepted >= begin {
-			f.Changes++
+		if change.Accepted >= start {
+			figures.Changes++
 		}
 	}
-	f.judged(Judge(record))
+	figures.addJudgement(Judge(record))
 	r.load.mu.Lock()
-	f.AcceptMax, f.Conflicts, f.OlderAccepted = r.load.acceptMax, r.load.conflicts, r.load.olderAccepted
+	figures.AcceptMax, figures.Conflicts, figures.OutdatedAccepted = r.load.acceptMax, r.load.conflicts, r.load.outdatedAccepted
 	r.load.mu.Unlock()
-	f.Void = r.watch.reasons()
+	figures.VoidReasons = r.watch.reasons()
 	r.watch.mu.Lock()
-	f.IdleLeast, f.PacerLate = r.watch.idleLeast, r.watch.lateMost
+	figures.MinIdle, figures.MaxPacerDelay = r.watch.minIdle, r.watch.maxDelay
 	r.watch.mu.Unlock()
 	return nil
 }
 
-// judged takes what the records show.
-func (f *Figures) judged(j *Judgement) {
-	f.InForceP50, f.InForceP99, f.InForceMax = Quantile(j.InForce, 0.5), Quantile(j.InForce, 0.99), j.InForceMax
-	f.RestartP50, f.RestartP99, f.Restarts = Quantile(j.Restarts, 0.5), Quantile(j.Restarts, 0.99), len(j.Restarts)
-	f.Unreachable, f.BackMax = j.Unreachable, j.BackMax
-	f.Stale, f.Back, f.BackOver = f.Stale+j.Stale, j.Back, j.BackOver
+// addJudgement adds the results of a record.
+func (f *Figures) addJudgement(judgement *Judgement) {
+	f.ConvergenceP50, f.ConvergenceP99, f.ConvergenceMax = Quantile(judgement.Convergence, 0.5), Quantile(judgement.Convergence, 0.99), judgement.ConvergenceMax
+	f.RestartP50, f.RestartP99, f.Restarts = Quantile(judgement.Restarts, 0.5), Quantile(judgement.Restarts, 0.99), len(judgement.Restarts)
+	f.Unreachable, f.RecoveryMax = judgement.Unreachable, judgement.RecoveryMax
+	f.Stale, f.Regressions, f.RestartRegressions = f.Stale+judgement.Stale, judgement.Regressions, judgement.RestartRegressions
 }
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,20 +1,19 @@
-// Package scale plays a region's distribution of configuration at the size that is
-// coming: a council and relays as real processes, real sidecars under load, and
-// thousands of hollow subscribers, which are the sidecar's own control client with
-// the request path left out. What is measured is taken down outside of the code
-// under test.
+// Package scale measures the distribution of a region's configuration at its future
+// size: a coordination cluster and relays as real processes, real sidecars under load,
+// and thousands of simulated subscribers, which are the sidecar's configuration client
+// without the request path. Measurements are made outside of the code under test.
 //
 // The parts:
 //
 //	topology   who subscribes to what, and at which relays         pure
 //	schedule   the faults of a run, drawn by seed                  pure
-//	judge      from what was recorded to what is in force when     pure
+//	judge      convergence times from the records of a run         pure
 //	fit        lines over sizes, and how well they predict         pure
-//	report     the records that hollow processes write             pure
-//	hollow     the program of a process of hollow subscribers
-//	process    processes and what they use; machine: its cores
-//	control    the council's and the relays' processes
-//	load       changes of configuration at a pace
+//	report     the messages between the rig and simulators         pure
+//	simulator  the program of a process of simulated subscribers; simulators: the rig's side
+//	process    processes and their resource usage; machine: its cores
+//	control    the processes of the cluster and of the relays
+//	load       changes of configuration at a constant rate
 //	run        one run with all of these; sweep: several sizes
 package scale
 
@@ -27,10 +26,10 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// Region is the name of the council that a run starts.
+// Region is the name of the coordination cluster that a run starts.
 const Region = "scale"
 
-// Bounds of a run on one machine.
+// Limits of a run on one machine.
 const (
 	MaxProcesses   = 300
 	MaxMemoryBytes = 12 << 30
@@ -38,21 +37,21 @@
 	MaxSidecars = 20_000
 	MaxReal     = 100
 	MaxZones    = 64
-	MaxChanges  = 500 // a second
+	MaxChanges  = 500 // per second
 	MaxLength   = time.Hour
 
 	minSettingsBytes = 128
-	minZones         = 2 // a sidecar's list names two relays or more
+	minZones         = 2 // a sidecar's list has two relays or more
 
-	maxSnapshotsAtOnce = 1024 // as in a relay's file
+	maxSnapshotsLimit = 1024 // of a relay's file
 )
 
-// What a run's processes are expected to take at the most, measured over the sizes
-// that the machine bears; a run that would not fit is refused before it starts.
+// Upper bounds of the resources of a run's processes, measured over the sizes that the
+// machine supports. A run that would exceed the machine is rejected before it starts.
 const (
-	hollowBytes          = 24 << 20 // a process of hollow subscribers without any
-	subscriberBytes      = 64 << 10 // a subscriber without its settings
-	settingsTimes        = 2        // of what a subscriber holds, for what is not collected yet
+	simulatorBytes       = 24 << 20 // a simulator without subscribers
+	subscriberBytes      = 64 << 10 // a simulated subscriber without its settings
+	settingsMemoryFactor = 2        // of a subscriber's settings, with garbage
 	relayBytes           = 40 << 20 // a relay without subscribers
 	relaySubscriberBytes = 48 << 10
 	memberBytes          = 192 << 20
@@ -61,57 +60,57 @@
 
 	members               = 3
 	subscribersPerProcess = 1200
-	spareDescriptors      = 256 // of a process beside its subscribers' connections
-	relayMoves            = 3   // as many times its own subscribers may come to a relay
+	spareDescriptors      = 256 // of a process beyond its subscribers' connections
+	relayFailoverFactor   = 3   // subscribers at a relay after failovers, as a multiple of its own
 )
 
-// ErrOptions is a run that can't be played as it was asked for.
+// ErrOptions is returned for options that are not valid or exceed the machine.
 var ErrOptions = errors.New("options")
 
-// Options describe a run.
+// Options are the options of a run.
 type Options struct {
-	Sidecars         int // hollow subscribers
-	Real             int // sidecars as processes of their own, under load
-	For              time.Duration
+	Sidecars         int // simulated subscribers
+	Real             int // real sidecars, each a process under load
+	Duration         time.Duration
 	Seed             uint64
 	ChangesPerSecond float64
 	Services         int
 	Zones            int
-	CallsServices    int // to how many services each sidecar subscribes
+	CallsServices    int // services that each sidecar subscribes to
 	SettingsBytes    int
-	SnapshotsAtOnce  int // that each relay may have under way
+	MaxSnapshots     int // in flight at each relay
 	Faults           bool
 	Programs         Programs
-	// Directory holds the files of runs, each in a folder of its own. It must exist.
-	// Where it is one among the system's temporary folders whose name begins with
-	// "rig", it is removed should the rig be killed.
+	// Directory has the files of runs, each in its own folder. It must exist. If it is a
+	// folder of the system's temporary folder whose name starts with "rig", it is removed
+	// when the rig is killed.
 	Directory string
-	// Progress is told about once a second how the run goes; nil for nobody.
+	// Progress is called about once per second during the run; nil for none.
 	Progress func(Progress)
 }
 
-// Programs are what a run starts: paths with arguments.
+// Programs are the programs that a run starts: paths with arguments.
 type Programs struct {
 	Sidecar  []string
 	Operator []string // the operators' command
-	Self     []string // this program: it is a reaper and a process of hollow subscribers, too
+	Self     []string // this program, which is also the reaper and the simulators
 }
 
-// Progress is how a run goes.
+// Progress is the state of a run.
 type Progress struct {
 	Phase   string
 	Elapsed time.Duration // of the load
 	Changes int           // accepted so far
-	Idle    float64       // share of the machine's cores
+	Idle    float64       // fraction of the machine's cores
 }
 
-// Limits are what the machine gives.
+// Limits are the resources of the machine.
 type Limits struct {
 	Descriptors int   // of one process
-	Memory      int64 // that is available now
+	Memory      int64 // available, in bytes
 }
 
-// MachineLimits reads those of this machine.
+// MachineLimits returns the limits of this machine.
 func MachineLimits() (Limits, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -121,27 +120,28 @@
 	return Limits{Descriptors: int(min(files.Cur, 1<<30)), Memory: memory}, err
 }
 
-// Check returns one line on why a run is not possible on a machine.
-func (o *Options) Check(machine Limits) error {
-	if err := o.checkBounds(); err != nil {
+// Validate checks the options against their limits and the machine's. Its error is one
+// line and wraps ErrOptions.
+func (o *Options) Validate(machine Limits) error {
+	if err := o.validateRanges(); err != nil {
 		return fmt.Errorf("%w: %w", ErrOptions, err)
 	}
-	if err := o.checkMachine(machine); err != nil {
+	if err := o.validateResources(machine); err != nil {
 		return fmt.Errorf("%w: %w", ErrOptions, err)
 	}
 	return nil
 }
 
-func (o *Options) checkBounds() error {
+func (o *Options) validateRanges() error {
 	for _, err := range []error{
 		checkRange("sidecars", o.Sidecars, 1, MaxSidecars),
 		checkRange("real", o.Real, 0, MaxReal),
-		checkRange("for", o.For, time.Second, MaxLength),
+		checkRange("for", o.Duration, time.Second, MaxLength),
 		checkRange("changes-per-s", o.ChangesPerSecond, 0, MaxChanges),
 		checkRange("services", o.Services, 1, configuration.MaxServices),
 		checkRange("zones", o.Zones, minZones, MaxZones),
 		checkRange("calls-services", o.CallsServices, 1, o.Services),
-		checkRange("snapshots-at-once", o.SnapshotsAtOnce, 1, maxSnapshotsAtOnce),
+		checkRange("snapshots-at-once", o.MaxSnapshots, 1, maxSnapshotsLimit),
 		checkRange("settings-bytes", o.SettingsBytes, minSettingsBytes, configuration.MaxSettingsBytes),
 	} {
 		if err != nil {
@@ -154,48 +154,48 @@
 	return nil
 }
 
-func (o *Options) checkMachine(machine Limits) error {
+func (o *Options) validateResources(machine Limits) error {
 	if machine.Descriptors <= spareDescriptors {
 		return fmt.Errorf("-sidecars: found %d descriptors of a process (ulimit -n), wanted more than %d", machine.Descriptors, spareDescriptors)
 	}
-	if need := relayMoves*(o.Sidecars+o.Real)/o.Zones + spareDescriptors; need > machine.Descriptors {
-		return fmt.Errorf("-sidecars: found %d, which wants %d descriptors of a relay, wanted %d at most (ulimit -n)", o.Sidecars, need, machine.Descriptors)
+	if need := relayFailoverFactor*(o.Sidecars+o.Real)/o.Zones + spareDescriptors; need > machine.Descriptors {
+		return fmt.Errorf("-sidecars: found %d, which needs %d descriptors of a relay, wanted %d at most (ulimit -n)", o.Sidecars, need, machine.Descriptors)
 	}
 	if n := o.processes(machine); n > MaxProcesses {
-		return fmt.Errorf("-sidecars: found %d, which wants %d processes, wanted %d at most", o.Sidecars, n, MaxProcesses)
+		return fmt.Errorf("-sidecars: found %d, which needs %d processes, wanted %d at most", o.Sidecars, n, MaxProcesses)
 	}
-	if need, most := o.memory(machine), min(MaxMemoryBytes, machine.Memory); need > most {
-		return fmt.Errorf("-sidecars: found %d, which wants %d MB, wanted %d MB at most", o.Sidecars, need>>20, most>>20)
+	if need, limit := o.memory(machine), min(MaxMemoryBytes, machine.Memory); need > limit {
+		return fmt.Errorf("-sidecars: found %d, which needs %d MB, wanted %d MB at most", o.Sidecars, need>>20, limit>>20)
 	}
 	return nil
 }
 
-// perProcess is how many hollow subscribers share a process.
-func (o *Options) perProcess(machine Limits) int {
+// subscribersPerProcess returns how many simulated subscribers share a process.
+func (o *Options) subscribersPerProcess(machine Limits) int {
 	return min(subscribersPerProcess, machine.Descriptors-spareDescriptors)
 }
 
-func (o *Options) hollowProcesses(machine Limits) int {
-	per := o.perProcess(machine)
+func (o *Options) simulatorProcesses(machine Limits) int {
+	per := o.subscribersPerProcess(machine)
 	return (o.Sidecars + per - 1) / per
 }
 
-// processes counts all of a run: with them the rig and its reaper.
+// processes returns the number of a run's processes, with the rig and its reaper.
 func (o *Options) processes(machine Limits) int {
-	return members + o.Zones + o.Real + o.hollowProcesses(machine) + 2
+	return members + o.Zones + o.Real + o.simulatorProcesses(machine) + 2
 }
 
-// memory is what a run is expected to take at the most.
+// memory returns the upper bound of a run's memory, in bytes.
 func (o *Options) memory(machine Limits) int64 {
 	settings := int64(o.SettingsBytes) * int64(o.CallsServices)
 	all := int64(rigBytes) + members*memberBytes + int64(o.Real)*sidecarBytes
-	all += int64(o.hollowProcesses(machine))*hollowBytes + int64(o.Sidecars)*(subscriberBytes+settingsTimes*settings)
+	all += int64(o.simulatorProcesses(machine))*simulatorBytes + int64(o.Sidecars)*(subscriberBytes+settingsMemoryFactor*settings)
 	return all + int64(o.Zones)*relayBytes + int64(o.Sidecars)*relaySubscriberBytes
 }
 
-func checkRange[T int | float64 | time.Duration](flag string, value, least, most T) error {
-	if !(value >= least && value <= most) {
-		return fmt.Errorf("-%s: found %v, wanted %v to %v", flag, value, least, most)
+func checkRange[T int | float64 | time.Duration](flag string, value, low, high T) error {
+	if value >= low && value <= high {
+		return nil
 	}
-	return nil
+	return fmt.Errorf("-%s: found %v, wanted %v to %v", flag, value, low, high)
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -14,16 +14,16 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// usual are the options of the page's command.
+// usual returns the options of the command in the documentation.
 func usual() Options {
-	return Options{Sidecars: 13_000, Real: 20, For: time.Minute, Seed: 1, ChangesPerSecond: 4, Services: 360, Zones: 19, CallsServices: 20, SettingsBytes: 2048, SnapshotsAtOnce: 64, Faults: true}
+	return Options{Sidecars: 13_000, Real: 20, Duration: time.Minute, Seed: 1, ChangesPerSecond: 4, Services: 360, Zones: 19, CallsServices: 20, SettingsBytes: 2048, MaxSnapshots: 64, Faults: true}
 }
 
-func TestOptionsThatCantBePlayed(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	machine := Limits{Descriptors: 20_000, Memory: 20 << 30}
 	o := usual()
-	if err := o.Check(machine); err != nil {
-		t.Errorf("the page's command: %v", err)
+	if err := o.Validate(machine); err != nil {
+		t.Errorf("the documented command: %v", err)
 	}
 	for _, c := range []struct {
 		change  func(*Options)
@@ -33,14 +33,14 @@
 		{func(o *Options) { o.Sidecars = 0 }, machine, "-sidecars: found 0, wanted 1 to 20000"},
 		{func(o *Options) { o.Sidecars = 20_001 }, machine, "-sidecars: found 20001, wanted 1 to 20000"},
 		{func(o *Options) { o.Real = 101 }, machine, "-real: found 101, wanted 0 to 100"},
-		{func(o *Options) { o.For = 0 }, machine, "-for: found 0s, wanted 1s to 1h0m0s"},
+		{func(o *Options) { o.Duration = 0 }, machine, "-for: found 0s, wanted 1s to 1h0m0s"},
 		{func(o *Options) { o.ChangesPerSecond = math.NaN() }, machine, "-changes-per-s: found NaN, wanted 0 to 500"},
 		{func(o *Options) { o.Services = 513 }, machine, "-services: found 513, wanted 1 to 512"},
 		{func(o *Options) { o.CallsServices = 361 }, machine, "-calls-services: found 361, wanted 1 to 360"},
 		{func(o *Options) { o.Zones = 1 }, machine, "-zones: found 1, wanted 2 to 64"},
 		{func(o *Options) { o.SettingsBytes = 9000 }, machine, "-settings-bytes: found 9000, wanted 128 to 8192"},
 		{func(o *Options) { o.Services, o.SettingsBytes = 512, 8192 }, machine, "-settings-bytes: found 8192 of each of 512 services, 4194304 in all, wanted 3145728 at most"},
-		{func(o *Options) {}, Limits{1024, 20 << 30}, "-sidecars: found 13000, which wants 2311 descriptors of a relay, wanted 1024 at most (ulimit -n)"},
+		{func(o *Options) {}, Limits{1024, 20 << 30}, "-sidecars: found 13000, which needs 2311 descriptors of a relay, wanted 1024 at most (ulimit -n)"},
 		{func(o *Options) { o.Sidecars = 1 }, Limits{256, 20 << 30}, "found 256 descriptors of a process (ulimit -n), wanted more than 256"},
 		{func(o *Options) {}, Limits{20_000, 1 << 30}, "MB, wanted 1024 MB at most"},
 		{func(o *Options) { o.Real, o.Zones, o.Sidecars = 20, 64, 19_000 }, Limits{1200, 20 << 30}, ""},
@@ -48,7 +48,7 @@
 	} {
 		o := usual()
 		c.change(&o)
-		err := o.Check(c.machine)
+		err := o.Validate(c.machine)
 		if c.want == "" {
 			if err != nil {
 				t.Errorf("%+v: %v", o, err)
@@ -87,7 +87,7 @@
 		inZones += len(topology.InZone(zone))
 	}
 	if inZones != 500 {
-		t.Errorf("found %d hollow subscribers in all zones, wanted 500", inZones)
+		t.Errorf("found %d simulated subscribers in all zones, wanted 500", inZones)
 	}
 	names, second := map[string]bool{}, map[int]bool{}
 	for i := range topology.Subscribers {
@@ -95,7 +95,7 @@
 		names[s.Name] = true
 		second[s.Relays[1]] = true
 		if s.Relays[0] != s.Zone || len(s.Relays) != 3 || distinct(s.Relays) != 3 || distinct(s.Services) != 20 || !slices.IsSorted(s.Services) {
-			t.Fatalf("found %+v, wanted its zone's relay, two others and 20 services, rising", s)
+			t.Fatalf("found %+v, wanted its zone's relay, two others and 20 services, sorted", s)
 		}
 		if err := topology.Subscription(s).Validate(); err != nil {
 			t.Fatal(err)
@@ -114,8 +114,8 @@
 	return len(seen)
 }
 
-// All settings are such as a council takes, of about the size that was asked for as
-// far as a service may have as many tenants.
+// All settings are valid, and of about the requested size as far as the limit of tenants
+// allows.
 func TestSettingsText(t *testing.T) {
 	for _, size := range []int{128, 500, 2048, 4096, 8192} {
 		seen := map[string]bool{}
@@ -130,7 +130,7 @@
 			seen[string(text)] = true
 		}
 		if len(seen) != 50 {
-			t.Errorf("%d bytes: found %d texts of 50 editions, wanted each its own", size, len(seen))
+			t.Errorf("%d bytes: found %d texts of 50 editions, wanted different ones", size, len(seen))
 		}
 	}
 }
@@ -140,25 +140,25 @@
 		o := usual()
 		o.Seed, o.Sidecars = seed, 1300
 		if seed%2 == 1 {
-			o.Sidecars, o.Zones, o.For = 60, 3, 6*time.Second
+			o.Sidecars, o.Zones, o.Duration = 60, 3, 6*time.Second
 		}
 		topology := NewTopology(&o)
 		faults := DrawFaults(&o, topology)
 		if !reflect.DeepEqual(faults, DrawFaults(&o, topology)) {
 			t.Fatalf("seed %d: the same seed gave other faults", seed)
 		}
-		kinds, until := map[FaultKind]int{}, map[int]time.Duration{}
+		kinds, recovery := map[FaultKind]int{}, map[int]time.Duration{}
 		for _, fault := range faults {
 			kinds[fault.Kind]++
-			if fault.At < 0 || fault.At+fault.For > o.For {
-				t.Errorf("seed %d: found %s, wanted its end before that of the load, %v", seed, &fault, o.For)
+			if fault.At < 0 || fault.At+fault.Duration > o.Duration {
+				t.Errorf("seed %d: found %s, wanted its end before that of the load, %v", seed, &fault, o.Duration)
 			}
 			switch fault.Kind {
-			case RelayKill, RelayStop, RelayCut, RelayTerm:
-				if fault.At < until[fault.Relay] {
-					t.Errorf("seed %d: found %s while the one before lasts until %v", seed, &fault, until[fault.Relay])
+			case RelayKill, RelaySuspend, RelayDisconnect, RelayTerm:
+				if fault.At < recovery[fault.Relay] {
+					t.Errorf("seed %d: found %s while the previous one lasts until %v", seed, &fault, recovery[fault.Relay])
 				}
-				until[fault.Relay] = fault.At + fault.For
+				recovery[fault.Relay] = fault.At + fault.Duration
 			case RackRestart:
 				if want := min(rackSubscribers, o.Sidecars/o.Zones); len(fault.Subscribers) != want {
 					t.Errorf("seed %d: found a rack of %d, wanted %d", seed, len(fault.Subscribers), want)
@@ -180,14 +180,14 @@
 // An ordinary day has 2,100 restarts of 13,000, and a run 20 times as many.
 func TestDayRestarts(t *testing.T) {
 	o := usual()
-	o.For = time.Hour
+	o.Duration = time.Hour
 	found := 0
 	for _, fault := range DrawFaults(&o, NewTopology(&o)) {
 		if fault.Kind == DayRestart {
 			found++
 		}
 	}
-	want := 2100.0 / 24 * 20 * latestEnd
+	want := 2100.0 / 24 * 20 * latestRecovery
 	if math.Abs(float64(found)-want) > 4*math.Sqrt(want) {
 		t.Errorf("found %d restarts in an hour, wanted about %.0f", found, want)
 	}
@@ -209,43 +209,43 @@
 			t.Errorf("found %+v, %v, wanted %+v", got, err, want)
 		}
 	}
-	if _, err := ReadReport(in); err != io.EOF {
+	if _, err := ReadReport(in); !errors.Is(err, io.EOF) {
 		t.Errorf("found %v, wanted the end", err)
 	}
-	if _, err := ReadReport(bytes.NewReader(text[:reportBytes-1])); err != io.ErrUnexpectedEOF {
-		t.Errorf("a part of a record: found %v", err)
+	if _, err := ReadReport(bytes.NewReader(text[:reportBytes-1])); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a truncated report: found %v", err)
 	}
 	if _, err := ReadReport(bytes.NewReader(make([]byte, reportBytes))); err == nil {
-		t.Error("a record of no kind: found no error")
+		t.Error("a report of no kind: found no error")
 	}
 }
 
-func TestCompareHeld(t *testing.T) {
-	held := func(service int, version configuration.Version, text string) configuration.Resource {
+func TestCompareResources(t *testing.T) {
+	resource := func(version configuration.Version, text string) configuration.Resource {
 		return configuration.Resource{Version: version, Settings: []byte(text)}
 	}
 	accepted := []Change{{Service: 0, Version: 11}, {Service: 1, Version: 12}, {Service: 0, Version: 13}}
 	settings := [][]byte{[]byte("b"), []byte("c")}
 	for _, c := range []struct {
-		name        string
-		held        []configuration.Resource
-		accepted    []Change
-		lost, twice int
+		name            string
+		resources       []configuration.Resource
+		accepted        []Change
+		lost, duplicate int
 	}{
-		{"all is there", []configuration.Resource{held(0, 13, "b"), held(1, 12, "c")}, accepted, 0, 0},
-		{"the last one is lost", []configuration.Resource{held(0, 11, "a"), held(1, 12, "c")}, accepted, 1, 0},
-		{"a service is lost", []configuration.Resource{{}, held(1, 12, "c")}, accepted, 2, 0},
-		{"a version with other settings", []configuration.Resource{held(0, 13, "x"), held(1, 12, "c")}, accepted, 1, 0},
-		{"a version more than changes", []configuration.Resource{held(0, 14, "b"), held(1, 12, "c")}, accepted, 0, 1},
-		{"two changes under one version", []configuration.Resource{held(0, 13, "b"), held(1, 12, "c")}, append(accepted[:3:3], Change{Service: 0, Version: 13}), 1, 0},
+		{"all are present", []configuration.Resource{resource(13, "b"), resource(12, "c")}, accepted, 0, 0},
+		{"the newest one is lost", []configuration.Resource{resource(11, "a"), resource(12, "c")}, accepted, 1, 0},
+		{"a service is lost", []configuration.Resource{{}, resource(12, "c")}, accepted, 2, 0},
+		{"a version with other settings", []configuration.Resource{resource(13, "x"), resource(12, "c")}, accepted, 1, 0},
+		{"one version more than changes", []configuration.Resource{resource(14, "b"), resource(12, "c")}, accepted, 0, 1},
+		{"two changes under one version", []configuration.Resource{resource(13, "b"), resource(12, "c")}, append(accepted[:3:3], Change{Service: 0, Version: 13}), 1, 0},
 		{"none", []configuration.Resource{{}, {}}, nil, 0, 0},
 	} {
-		of := settings
+		newest := settings
 		if c.accepted == nil {
-			of = make([][]byte, 2)
+			newest = make([][]byte, 2)
 		}
-		if lost, twice := compareHeld(c.held, c.accepted, of); lost != c.lost || twice != c.twice {
-			t.Errorf("%s: found lost=%d twice=%d, wanted %d and %d", c.name, lost, twice, c.lost, c.twice)
+		if lost, duplicate := compareResources(c.resources, c.accepted, newest); lost != c.lost || duplicate != c.duplicate {
+			t.Errorf("%s: found lost=%d duplicate=%d, wanted %d and %d", c.name, lost, duplicate, c.lost, c.duplicate)
 		}
 	}
 }
@@ -257,11 +257,11 @@
 		void int
 	}{
 		{"nothing", func(w *watchdog) {}, 0},
-		{"late by what is allowed", func(w *watchdog) { w.late(200 * time.Millisecond) }, 0},
-		{"late", func(w *watchdog) { w.late(201 * time.Millisecond); w.late(time.Second) }, 1},
-		{"two seconds without an idle core", func(w *watchdog) { w.idle(0); w.idle(0); w.idle(0.5); w.idle(0) }, 0},
-		{"three of them", func(w *watchdog) { w.idle(0); w.idle(0.01); w.idle(0); w.idle(0) }, 1},
-		{"stood still", func(w *watchdog) { w.stood(time.Second); w.stood(3 * time.Second) }, 1},
+		{"late within the limit", func(w *watchdog) { w.recordDelay(200 * time.Millisecond) }, 0},
+		{"late", func(w *watchdog) { w.recordDelay(201 * time.Millisecond); w.recordDelay(time.Second) }, 1},
+		{"two seconds without an idle core", func(w *watchdog) { w.recordIdle(0); w.recordIdle(0); w.recordIdle(0.5); w.recordIdle(0) }, 0},
+		{"three of them", func(w *watchdog) { w.recordIdle(0); w.recordIdle(0.01); w.recordIdle(0); w.recordIdle(0) }, 1},
+		{"suspended", func(w *watchdog) { w.recordSuspension(time.Second); w.recordSuspension(3 * time.Second) }, 1},
 	} {
 		w := newWatchdog()
 		c.do(w)
@@ -271,37 +271,37 @@
 	}
 }
 
-// Each rule is broken by itself, and the good figures break none.
+// Each rule is broken alone, and valid figures break none.
 func TestBrokenRules(t *testing.T) {
-	good := Figures{InForceMax: 4 * time.Second, BackMax: 4 * time.Second, BytesPerSidecar: 14_000, ProcessorShare: 0.017, Processes: 300, MemoryBytes: 12 << 30, Unreachable: 3, BackOver: 2, SnapshotsAtOnce: 64, SnapshotsAllowed: 64}
-	if broken := good.Broken(); len(broken) != 0 {
+	valid := Figures{ConvergenceMax: 4 * time.Second, RecoveryMax: 4 * time.Second, BytesPerSidecar: 14_000, ProcessorShare: 0.017, Processes: 300, MemoryBytes: 12 << 30, Unreachable: 3, RestartRegressions: 2, PeakSnapshots: 64, MaxSnapshots: 64}
+	if broken := valid.BrokenRules(); len(broken) != 0 {
 		t.Errorf("found %q broken, wanted none", broken)
 	}
 	for _, c := range []struct {
 		change func(*Figures)
 		want   string
-		always bool // also where the run is void
+		always bool // also in a void run
 	}{
-		{func(f *Figures) { f.InForceMax++ }, "in_force_max_s", false},
-		{func(f *Figures) { f.BackMax++ }, "back_max_s", false},
+		{func(f *Figures) { f.ConvergenceMax++ }, "in_force_max_s", false},
+		{func(f *Figures) { f.RecoveryMax++ }, "back_max_s", false},
 		{func(f *Figures) { f.Stale = 1 }, "stale", false},
-		{func(f *Figures) { f.RequestsLost = 1 }, "lost", false},
+		{func(f *Figures) { f.LostRequests = 1 }, "lost", false},
 		{func(f *Figures) { f.BytesPerSidecar++ }, "bytes_per_sidecar_s", false},
 		{func(f *Figures) { f.ProcessorShare = 0.0171 }, "cpu_share", false},
 		{func(f *Figures) { f.MemoryBytes++ }, "memory_mb", false},
 		{func(f *Figures) { f.Processes++ }, "processes", false},
 		{func(f *Figures) { f.Failures = []error{errors.New("a\nb")} }, "a; b", false},
-		{func(f *Figures) { f.Back = 1 }, "back", true},
-		{func(f *Figures) { f.Lost = 1 }, "lost_changes", true},
-		{func(f *Figures) { f.Twice = 1 }, "applied_twice", true},
-		{func(f *Figures) { f.OlderAccepted = 1 }, "older_accepted", true},
-		{func(f *Figures) { f.RequestsTwice = 1 }, "twice", true},
-		{func(f *Figures) { f.Unasked = 1 }, "unasked", true},
-		{func(f *Figures) { f.SnapshotsAtOnce = 65 }, "snapshots_at_once", true},
+		{func(f *Figures) { f.Regressions = 1 }, "back", true},
+		{func(f *Figures) { f.LostChanges = 1 }, "lost_changes", true},
+		{func(f *Figures) { f.DuplicateVersions = 1 }, "applied_twice", true},
+		{func(f *Figures) { f.OutdatedAccepted = 1 }, "older_accepted", true},
+		{func(f *Figures) { f.DuplicateRequests = 1 }, "twice", true},
+		{func(f *Figures) { f.Unsubscribed = 1 }, "unasked", true},
+		{func(f *Figures) { f.PeakSnapshots = 65 }, "snapshots_at_once", true},
 	} {
-		f := good
+		f := valid
 		c.change(&f)
-		broken := f.Broken()
+		broken := f.BrokenRules()
 		if len(broken) != 1 || !strings.HasPrefix(broken[0], c.want) {
 			t.Errorf("found %q, wanted %s alone", broken, c.want)
 		}
--- a/internal/lab/scale/sidecars.go
+++ b/internal/lab/scale/sidecars.go
@@ -13,16 +13,16 @@
 	"otterspring/internal/lab/rig"
 )
 
-// Load of the real sidecars: modest, so that the control part is what is seen.
+// Load of the real sidecars: low, since their configuration is what is measured.
 const (
 	sidecarServers = 6
-	sidecarRate    = 4.0 // requests a second of each sidecar
-	sidecarLanes   = 8   // that start at a time
-	sidecarStretch = 2   // of the classes' times, on a machine with thousands of neighbours
+	sidecarRate    = 4.0 // requests per second of each sidecar
+	sidecarLanes   = 8   // sidecars that start concurrently
+	sidecarStretch = 2   // factor of the classes' times, on a machine with many other processes
 )
 
-// sidecars are real ones with stand-in call servers and clients, under the usual
-// audit.
+// sidecars are the real sidecars with fake upstreams and clients, whose requests are
+// audited.
 type sidecars struct {
 	world       *rig.World // nil for none
 	subscribers []Subscriber
@@ -31,19 +31,19 @@
 	err         error
 }
 
-// startSidecars starts them; each follows the configuration as its topology says.
-func startSidecars(ctx context.Context, o *Options, in string, t *Topology, relays []string) (*sidecars, error) {
-	s := &sidecars{seed: o.Seed, subscribers: t.Subscribers[t.Hollow:]}
-	if o.Real == 0 {
+// startSidecars starts the sidecars with the services and relays of the topology.
+func startSidecars(ctx context.Context, options *Options, folder string, topology *Topology, relays []string) (*sidecars, error) {
+	s := &sidecars{seed: options.Seed, subscribers: topology.Subscribers[topology.Simulated:]}
+	if options.Real == 0 {
 		return s, nil
 	}
-	directory := filepath.Join(in, "sidecars")
+	directory := filepath.Join(folder, "sidecars")
 	if err := os.Mkdir(directory, 0o700); err != nil {
 		return nil, err
 	}
 	world, err := rig.New(rig.Options{
-		Seed: o.Seed, Instances: o.Real, Servers: sidecarServers, Stretch: sidecarStretch, Program: o.Programs.Sidecar, Dir: directory,
-		Operator: func(i int, _ string) string { return operatorText(t, &s.subscribers[i], relays) },
+		Seed: options.Seed, Instances: options.Real, Servers: sidecarServers, Stretch: sidecarStretch, Program: options.Programs.Sidecar, Dir: directory,
+		Operator: func(i int, _ string) string { return operatorText(topology, &s.subscribers[i], relays) },
 	})
 	if err != nil {
 		return nil, err
@@ -56,13 +56,13 @@
 	return s, nil
 }
 
-// operatorText is what an operator's file says of the configuration.
-func operatorText(t *Topology, s *Subscriber, relays []string) string {
+// operatorText returns the configuration section of a sidecar's operator file.
+func operatorText(topology *Topology, subscriber *Subscriber, relays []string) string {
 	var addresses, services []string
-	for _, relay := range s.Relays {
+	for _, relay := range subscriber.Relays {
 		addresses = append(addresses, fmt.Sprintf("%q", relays[relay]))
 	}
-	for _, service := range t.Subscription(s) {
+	for _, service := range topology.Subscription(subscriber) {
 		services = append(services, fmt.Sprintf("%q", service))
 	}
 	return fmt.Sprintf("[configuration]\nregion = %q\nrelays = [%s]\nservices = [%s]\n", Region, strings.Join(addresses, ", "), strings.Join(services, ", "))
@@ -74,7 +74,7 @@
 	}
 }
 
-// run has clients ask for a while.
+// run sends requests for a duration.
 func (s *sidecars) run(ctx context.Context, length time.Duration) {
 	if s.world == nil {
 		return
@@ -83,16 +83,16 @@
 	s.result, s.err = load.Run(ctx, s.world)
 }
 
-// measure is what the sidecars use, and how many run.
+// measure returns the resource usage of the sidecars, and how many run.
 func (s *sidecars) measure() (sum Usage, running int) {
 	if s.world == nil {
 		return sum, 0
 	}
 	for _, instance := range s.world.Instances {
 		for _, pid := range instance.Pids() {
-			used, err := readUsage(pid)
+			usage, err := readUsage(pid)
 			if err == nil {
-				sum = sum.plus(used)
+				sum = sum.plus(usage)
 				running++
 			}
 		}
@@ -100,41 +100,41 @@
 	return sum, running
 }
 
-// finish takes down what became of the requests, and which sidecars lack the newest
-// version of a service that they follow.
-func (s *sidecars) finish(f *Figures, newest []configuration.Version) {
+// finish adds the audit of the requests to the figures, and the sidecars that lack the
+// newest version of a service.
+func (s *sidecars) finish(figures *Figures, newest []configuration.Version) {
 	if s.world == nil {
 		return
 	}
 	if s.err != nil {
-		f.Failures = append(f.Failures, s.err)
+		figures.Failures = append(figures.Failures, s.err)
 		return
 	}
-	f.Failures = append(f.Failures, s.result.Errors...)
+	figures.Failures = append(figures.Failures, s.result.Errors...)
 	report := s.world.Log.Report()
-	f.RequestsAll = report.Asked
-	f.RequestsLost = report.Lost + report.Late + report.Forged + report.After
-	f.RequestsTwice = report.Twice + report.Untrue
+	figures.Requests = report.Asked
+	figures.LostRequests = report.Lost + report.Late + report.Forged + report.After
+	figures.DuplicateRequests = report.Twice + report.Untrue
 	for _, problem := range report.Problems {
-		f.Failures = append(f.Failures, fmt.Errorf("request: %s", problem))
+		figures.Failures = append(figures.Failures, fmt.Errorf("request: %s", problem))
 	}
 	for i, instance := range s.world.Instances {
-		held, err := configuredVersion(instance.Addr)
+		version, err := configuredVersion(instance.Addr)
 		if err != nil {
-			f.Failures = append(f.Failures, fmt.Errorf("%s: %w", instance.Name, err))
+			figures.Failures = append(figures.Failures, fmt.Errorf("%s: %w", instance.Name, err))
 		}
 		for _, service := range s.subscribers[i].Services {
-			if held < newest[service] {
-				f.Stale++
+			if version < newest[service] {
+				figures.Stale++
 				break
 			}
 		}
 	}
 }
 
-// configuredVersion asks a sidecar which version of the configuration it has taken.
+// configuredVersion returns the version of the configuration that a sidecar has applied.
 func configuredVersion(address string) (configuration.Version, error) {
-	client := http.Client{Timeout: askWithin}
+	client := http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
 	response, err := client.Get("http://" + address + "/up")
 	if err != nil {
--- /dev/null
+++ b/internal/lab/scale/simulator.go
@@ -0,0 +1,329 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"otterspring/internal/fleet/configuration"
+	"otterspring/internal/sidecar/configclient"
+)
+
+// SimulatorCommand is the argument with which a program that links this package runs
+// RunSimulator.
+const SimulatorCommand = "run-hollow"
+
+// errNoSpec is a first command without a specification.
+var errNoSpec = errors.New("found no specification, wanted one")
+
+const (
+	// flushInterval is how long a report may wait for others. Its time is set before.
+	flushInterval = 20 * time.Millisecond
+	// maxPendingBytes limits the unwritten reports: beyond it, subscribers block.
+	maxPendingBytes = 4 << 20
+)
+
+// RunSimulator is the program of a process of simulated subscribers. It reads commands
+// and writes reports until a command stops it or its input ends, as it does when the rig
+// ends. It returns the exit code.
+func RunSimulator(in io.Reader, out, errw io.Writer) int {
+	// A line about a relay's failure from each of a thousand subscribers would flood the log.
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	s := &simulator{reports: newReporter(out)}
+	defer s.reports.close()
+	s.reports.add(Report{Kind: ReportReady, At: Now()})
+	commands := json.NewDecoder(bufio.NewReader(in))
+	var first Command
+	err := commands.Decode(&first)
+	if err == nil && first.Spec == nil {
+		err = errNoSpec
+	}
+	if err != nil {
+		if _, writeErr := fmt.Fprintf(errw, "%s: first command: %v\n", SimulatorCommand, err); writeErr != nil {
+			return 1 // the exit code reports the failure
+		}
+		return 1
+	}
+	s.createSubscribers(first.Spec)
+	defer s.stopAll()
+	s.reports.add(Report{Kind: ReportReady, At: Now()})
+	defer s.countBytes()()
+	for {
+		var command Command
+		if err := commands.Decode(&command); err != nil {
+			return 0
+		}
+		s.execute(&command)
+		if command.Stop {
+			s.stopAll()
+			s.reports.add(Report{Kind: ReportDone, At: Now()})
+			return 0
+		}
+	}
+}
+
+// simulator is a process of simulated subscribers. One goroutine executes its commands.
+type simulator struct {
+	reports     *reporter
+	spec        *SimulatorSpec
+	rng         *rand.Rand
+	subscribers []*simulatedSubscriber
+	restarting  sync.WaitGroup // starts and restarts in progress
+}
+
+// simulatedSubscriber is one subscriber over all its incarnations.
+type simulatedSubscriber struct {
+	number   uint32
+	settings configclient.Settings
+	services map[string]uint16
+	reports  *reporter
+	bytes    atomic.Int64 // read and written since the last report
+
+	mu      sync.Mutex // guards the following, also during a start or a stop
+	stop    context.CancelFunc
+	stopped chan struct{}
+	closed  bool // it does not start any more
+}
+
+// createSubscribers creates the subscribers of a specification.
+func (s *simulator) createSubscribers(spec *SimulatorSpec) {
+	s.spec = spec
+	s.rng = rand.New(rand.NewPCG(spec.Seed, 0x686f6c6c6f77))
+	for i, one := range spec.Subscribers {
+		subscriber := &simulatedSubscriber{number: uint32(i), reports: s.reports, services: make(map[string]uint16, len(one.Services))}
+		subscriber.settings = configclient.Settings{Region: spec.Region, Subscriber: one.Name, Dial: subscriber.dial}
+		for _, relay := range one.Relays {
+			subscriber.settings.Relays = append(subscriber.settings.Relays, spec.Relays[relay])
+		}
+		for _, service := range one.Services {
+			name := spec.Services[service]
+			subscriber.settings.Services = append(subscriber.settings.Services, name)
+			subscriber.services[name] = uint16(service)
+		}
+		s.subscribers = append(s.subscribers, subscriber)
+	}
+}
+
+// execute executes a command. Each subscriber of it has a goroutine until it is started.
+func (s *simulator) execute(command *Command) {
+	spread := time.Duration(command.WithinMS) * time.Millisecond
+	for _, number := range append(command.Start, command.Restart...) {
+		if number < 0 || number >= len(s.subscribers) {
+			continue
+		}
+		delay, seed := time.Duration(s.rng.Float64()*float64(spread)), s.rng.Uint64()
+		s.restarting.Go(func() {
+			time.Sleep(delay)
+			s.subscribers[number].restart(seed)
+		})
+	}
+}
+
+// stopAll stops all subscribers, which do not start any more.
+func (s *simulator) stopAll() {
+	var all sync.WaitGroup
+	for _, subscriber := range s.subscribers {
+		all.Go(subscriber.close)
+	}
+	all.Wait()
+	s.restarting.Wait()
+}
+
+// restart stops the subscriber's client, if one runs, and starts another one without a
+// version.
+func (s *simulatedSubscriber) restart(seed uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopClient()
+	if s.closed {
+		return
+	}
+	settings := s.settings
+	settings.Seed = seed
+	s.reports.add(Report{Kind: ReportStarted, Subscriber: s.number, At: Now()})
+	client := configclient.New(settings, s.apply)
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	s.stop, s.stopped = cancel, stopped
+	go func() {
+		defer close(stopped)
+		client.Run(ctx)
+	}()
+}
+
+func (s *simulatedSubscriber) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopClient()
+	s.closed = true
+}
+
+// stopClient stops the running client, if any. The caller has locked mu.
+func (s *simulatedSubscriber) stopClient() {
+	if s.stop == nil {
+		return
+	}
+	s.stop()
+	<-s.stopped
+	s.stop = nil
+	s.reports.add(Report{Kind: ReportStopped, Subscriber: s.number, At: Now()})
+}
+
+// apply reports the applied changes.
+func (s *simulatedSubscriber) apply(changes configuration.Changes, _ configuration.Version) []configuration.Rejection {
+	now := Now()
+	for _, resource := range changes.Updated {
+		s.report(now, resource.Service, resource.Version)
+	}
+	for _, service := range changes.Removed {
+		s.report(now, service, 0)
+	}
+	return nil
+}
+
+func (s *simulatedSubscriber) report(now time.Duration, service string, version configuration.Version) {
+	number, subscribed := s.services[service]
+	if !subscribed {
+		number = NotSubscribed
+	}
+	s.reports.add(Report{Kind: ReportApplied, Subscriber: s.number, Service: number, Value: uint64(version), At: now})
+}
+
+// dial connects to a relay and counts the bytes of the connection.
+func (s *simulatedSubscriber) dial(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return &countedConn{Conn: conn, bytes: &s.bytes}, nil
+}
+
+// countedConn counts the bytes that are read and written.
+type countedConn struct {
+	net.Conn
+	bytes *atomic.Int64
+}
+
+func (c *countedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+func (c *countedConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+// countBytes reports once per second the bytes of all connections, and the most of any
+// subscriber, until the function that it returns is called.
+func (s *simulator) countBytes() func() {
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(stopped)
+		tick := time.NewTicker(time.Second)
+		defer tick.Stop()
+		for {
+			select {
+			case <-stop:
+				return
+			case <-tick.C:
+			}
+			s.reportBytes()
+		}
+	}()
+	return func() { close(stop); <-stopped }
+}
+
+func (s *simulator) reportBytes() {
+	now, sum := Now(), int64(0)
+	worst := Report{Kind: ReportMaxBytes, At: now}
+	for _, subscriber := range s.subscribers {
+		bytes := subscriber.bytes.Swap(0)
+		sum += bytes
+		if uint64(bytes) > worst.Value {
+			worst.Value, worst.Subscriber = uint64(bytes), subscriber.number
+		}
+	}
+	s.reports.add(Report{Kind: ReportBytes, Value: uint64(sum), At: now})
+	s.reports.add(worst)
+}
+
+// reporter writes reports in batches, in its own goroutine from newReporter to close. It
+// may be used by several goroutines.
+type reporter struct {
+	out     io.Writer
+	stopped chan struct{}
+
+	mu      sync.Mutex
+	notFull *sync.Cond // of mu: signals that pending is not full, or closed
+	pending []byte
+	spare   []byte
+	closed  bool
+}
+
+func newReporter(out io.Writer) *reporter {
+	r := &reporter{out: out, stopped: make(chan struct{})}
+	r.notFull = sync.NewCond(&r.mu)
+	go r.run()
+	return r
+}
+
+// add adds a report; it blocks while maxPendingBytes are not written.
+func (r *reporter) add(report Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for len(r.pending) > maxPendingBytes && !r.closed {
+		r.notFull.Wait()
+	}
+	r.pending = report.Append(r.pending)
+}
+
+func (r *reporter) run() {
+	defer close(r.stopped)
+	for r.flush() {
+		time.Sleep(flushInterval)
+	}
+}
+
+// flush writes the pending reports; it returns false once it is closed.
+func (r *reporter) flush() bool {
+	r.mu.Lock()
+	batch, closed := r.pending, r.closed
+	r.pending, r.spare = r.spare[:0], nil
+	r.notFull.Broadcast()
+	r.mu.Unlock()
+	var err error
+	if len(batch) > 0 {
+		_, err = r.out.Write(batch)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.spare = batch[:0]
+	if err != nil { // the rig has ended, and with it the commands
+		r.closed = true
+		r.notFull.Broadcast()
+		return false
+	}
+	return !closed
+}
+
+// close writes the pending reports and ends the goroutine.
+func (r *reporter) close() {
+	r.mu.Lock()
+	r.closed = true
+	r.notFull.Broadcast()
+	r.mu.Unlock()
+	<-r.stopped
+}
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -3,19 +3,20 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// MinSizes is how few sizes a sweep has: without the largest there must be enough
-// for a line with an interval.
+// MinSizes is the lowest number of sizes of a sweep: without the largest there must be
+// enough for a line with an interval.
 const MinSizes = minFitPoints + 1
 
-// Quantity is what a sweep fits of a role.
+// Quantity is a quantity of a role's usage to which a sweep fits a line.
 type Quantity string
 
 // The quantities.
 const (
-	QuantityBytes  Quantity = "bytes"  // a second
+	QuantityBytes  Quantity = "bytes"  // per second
 	QuantityCores  Quantity = "cpu"    // cores
 	QuantityMemory Quantity = "memory" // bytes
 )
@@ -33,7 +34,7 @@
 	}
 }
 
-// RoleFit is a line over sizes of what a role takes, and how well it predicts.
+// RoleFit is a line over sizes of a role's usage, and its prediction.
 type RoleFit struct {
 	Role       Role // empty for all roles together
 	Quantity   Quantity
@@ -41,7 +42,7 @@
 	Prediction Prediction
 }
 
-// String is a fit in words.
+// String returns the fit as text for the output of a sweep.
 func (f *RoleFit) String() string {
 	role := f.Role
 	if role == "" {
@@ -49,17 +50,17 @@
 	}
 	bends := ""
 	if f.Prediction.Bends() {
-		bends = fmt.Sprintf(" BENDS: wanted %v to %v", leastRatio, mostRatio)
+		bends = fmt.Sprintf(" BENDS: wanted %v to %v", minRatio, maxRatio)
 	}
 	return fmt.Sprintf("%-10s %-6s %.4g + %.4g a subscriber (95%% interval %.4g to %.4g, %d sizes); largest: predicted %.4g, measured %.4g, predicted_over_measured=%.3f%s",
 		role, f.Quantity, f.Line.Intercept, f.Line.Slope, f.Line.Low, f.Line.High, f.Line.Points, f.Prediction.Predicted, f.Prediction.Measured, f.Prediction.Ratio(), bends)
 }
 
 // FitRuns fits a line over the sizes of runs for each role and quantity, and for all
-// roles together. The sizes rise.
+// roles together. runs are sorted by size.
 func FitRuns(runs []*Figures) ([]RoleFit, error) {
 	var fits []RoleFit
-	for _, role := range append(roles[:len(roles):len(roles)], "") {
+	for _, role := range append(slices.Clip(roles), "") {
 		for _, quantity := range quantities {
 			fit, err := fitRole(runs, role, quantity)
 			if err != nil {
@@ -76,9 +77,9 @@
 	var sizes, values []float64
 	for _, f := range runs {
 		value := 0.0
-		for of, used := range f.Used {
-			if of == role || role == "" {
-				value += used.of(quantity)
+		for usedBy, usage := range f.Usage {
+			if usedBy == role || role == "" {
+				value += usage.of(quantity)
 			}
 		}
 		sizes, values = append(sizes, float64(f.Sidecars)), append(values, value)
@@ -91,7 +92,8 @@
 	return fit, err
 }
 
-// CheckSizes tells in one line what is wrong with the sizes of a sweep.
+// CheckSizes validates the sizes of a sweep, which must rise. Its error is one line and
+// wraps ErrOptions.
 func CheckSizes(sizes []int) error {
 	if len(sizes) < MinSizes {
 		return fmt.Errorf("%w: -sizes: found %d, wanted %d or more", ErrOptions, len(sizes), MinSizes)
@@ -104,15 +106,15 @@
 	return nil
 }
 
-// Sweep plays a run at each size, which rise, and hands on what each came to.
-func Sweep(ctx context.Context, o Options, sizes []int, each func(*Figures)) ([]*Figures, error) {
-	if err := checkSweep(o, sizes); err != nil {
+// Sweep makes a run at each size, which rise, and calls each with its figures.
+func Sweep(ctx context.Context, options Options, sizes []int, each func(*Figures)) ([]*Figures, error) {
+	if err := checkSweep(options, sizes); err != nil {
 		return nil, err
 	}
 	var runs []*Figures
 	for _, size := range sizes {
-		o.Sidecars = size
-		f, err := Run(ctx, &o)
+		options.Sidecars = size
+		f, err := Run(ctx, &options)
 		if err != nil {
 			return nil, fmt.Errorf("size %d: %w", size, err)
 		}
@@ -122,7 +124,7 @@
 	return runs, nil
 }
 
-func checkSweep(o Options, sizes []int) error {
+func checkSweep(options Options, sizes []int) error {
 	if err := CheckSizes(sizes); err != nil {
 		return err
 	}
@@ -131,21 +133,21 @@
 		return err
 	}
 	for _, size := range sizes {
-		o.Sidecars = size
-		if err := o.Check(limits); err != nil {
+		options.Sidecars = size
+		if err := options.Validate(limits); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// SweepLine is the last line of a sweep.
+// SweepLine returns the last line of a sweep's output.
 func SweepLine(runs []*Figures, fits []RoleFit) string {
 	var sizes []string
 	void := 0
 	for _, f := range runs {
 		sizes = append(sizes, fmt.Sprint(f.Sidecars))
-		if len(f.Void) > 0 {
+		if len(f.VoidReasons) > 0 {
 			void++
 		}
 	}
--- a/internal/lab/scale/topology.go
+++ b/internal/lab/scale/topology.go
@@ -10,22 +10,23 @@
 	"otterspring/internal/fleet/configuration"
 )
 
-// furtherRelays are how many relays a sidecar's list has behind that of its zone.
-const furtherRelays = 2
+// remoteRelays is how many relays of other zones a sidecar's list has after that of its
+// zone.
+const remoteRelays = 2
 
-// Topology is who subscribes to what, and where.
+// Topology is the subscribers of a run with their services and relays.
 type Topology struct {
 	Services    []string
-	Subscribers []Subscriber // the hollow ones, then the real ones
-	Hollow      int
+	Subscribers []Subscriber // the simulated ones, then the real ones
+	Simulated   int
 	Zones       int
 }
 
-// Subscriber is one sidecar, hollow or real.
+// Subscriber is one sidecar, simulated or real.
 type Subscriber struct {
 	Name     string
 	Zone     int
-	Services []int // of the topology's, rising
+	Services []int // indexes of the topology's, sorted
 	Relays   []int // the nearest first
 }
 
@@ -33,7 +34,7 @@
 // the same topology.
 func NewTopology(o *Options) *Topology {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x746f706f))
-	t := &Topology{Hollow: o.Sidecars, Zones: o.Zones}
+	t := &Topology{Simulated: o.Sidecars, Zones: o.Zones}
 	for i := range o.Services {
 		t.Services = append(t.Services, fmt.Sprintf("service-%03d", i+1))
 	}
@@ -51,7 +52,7 @@
 	s := Subscriber{Name: name, Zone: zone, Services: rng.Perm(o.Services)[:o.CallsServices], Relays: []int{zone}}
 	slices.Sort(s.Services)
 	for _, relay := range rng.Perm(o.Zones) {
-		if relay != zone && len(s.Relays) <= furtherRelays {
+		if relay != zone && len(s.Relays) <= remoteRelays {
 			s.Relays = append(s.Relays, relay)
 		}
 	}
@@ -70,7 +71,7 @@
 // InZone are the hollow subscribers of a zone, by number.
 func (t *Topology) InZone(zone int) []int {
 	var all []int
-	for i := range t.Hollow {
+	for i := range t.Simulated {
 		if t.Subscribers[i].Zone == zone {
 			all = append(all, i)
 		}
@@ -85,38 +86,37 @@
 	settingsDigits = 2
 )
 
-// settingsClasses are the classes of the stand-in call servers.
+// settingsClasses are the classes of the fake upstreams.
 var settingsClasses = []string{"roster", "join", "start-rec"}
 
-// SettingsText is a service's settings of about that many bytes: the shares of its
-// tenants, as many as fit, and what answers of a class are worth. edition makes each
-// change's text another.
+// SettingsText returns a service's settings of about size bytes: as many tenants with
+// quotas as fit, and a class with its weight. The texts of different editions differ.
 func SettingsText(service int, edition uint64, size int) json.RawMessage {
 	rng := rand.New(rand.NewPCG(uint64(service), edition))
 	class := settingsClasses[edition%uint64(len(settingsClasses))]
 	tail := fmt.Sprintf(`],"classes":[{"name":%q,"worth":%.*f}]}`, class, settingsDigits, 1+9*rng.Float64())
 	head := `{"tenants":[`
-	room := size - len(head) - len(tail)
-	count := min(max(1, room/tenantBytes), configuration.MaxTenants)
-	var b strings.Builder
-	b.WriteString(head)
+	available := size - len(head) - len(tail)
+	count := min(max(1, available/tenantBytes), configuration.MaxTenants)
+	var text strings.Builder
+	text.WriteString(head)
 	for i := range count {
 		if i > 0 {
-			b.WriteByte(',')
+			text.WriteByte(',')
 		}
-		left := size - len(tail) - b.Len()
-		b.WriteString(tenantText(rng, service, i, left/(count-i)))
+		left := size - len(tail) - text.Len()
+		text.WriteString(tenantText(rng, service, i, left/(count-i)))
 	}
-	b.WriteString(tail)
-	return json.RawMessage(b.String())
+	text.WriteString(tail)
+	return json.RawMessage(text.String())
 }
 
-// tenantText is an entry of about that many bytes.
+// tenantText returns the JSON of a tenant, of about size bytes.
 func tenantText(rng *rand.Rand, service, number, size int) string {
 	name := fmt.Sprintf("t%03d-%03d", service, number)
 	quota := fmt.Sprintf("%.*f", settingsDigits, 100*rng.Float64())
-	rest := len(`{"name":"","quota-per-s":},`) + len(quota)
-	for len(name) < min(size-rest, maxTenantName) {
+	fixed := len(`{"name":"","quota-per-s":},`) + len(quota)
+	for len(name) < min(size-fixed, maxTenantName) {
 		name += string("abcdefghijklmnopqrstuvwxyz"[rng.IntN(26)])
 	}
 	return fmt.Sprintf(`{"name":%q,"quota-per-s":%s}`, name, quota)
