--- /dev/null
+++ b/internal/fleet/supervisor/supervisor_test.go
@@ -0,0 +1,311 @@
+package supervisor
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"otterspring/internal/logging"
+)
+
+func TestRunRestartReloadStop(t *testing.T) {
+	t.Parallel()
+	r := supervise(t, setup(t, 4, "sidecar", "[restart]\nat_once = 2\n"))
+	before := pids(r.until(t, "4 instances, 4 up"))
+	if info, err := os.Stat(r.file.Control); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("the control socket's mode: %v %v", info, err)
+	}
+	r.command(t, "restart")
+	after := pids(r.rolls(t, 1))
+	for name, p := range after {
+		if len(p) != 1 || p[0] == before[name][0] {
+			t.Errorf("%s: %v, before %v", name, p, before[name])
+		}
+	}
+	// A reload keeps the processes and brings the new configuration.
+	base := filepath.Join(filepath.Dir(r.file.Path), "base.json")
+	writeFile(t, base, []byte(strings.Replace(template, "127.0.0.1:1", "127.0.0.1:2", 1)))
+	r.command(t, "reload")
+	if got := pids(r.rolls(t, 2)); fmt.Sprint(got) != fmt.Sprint(after) {
+		t.Errorf("a reload changed processes: %v, %v", got, after)
+	}
+	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		text, _ := os.ReadFile(filepath.Join(r.file.Directory, "n1.log"))
+		if strings.Contains(string(text), "discovery=127.0.0.1:2") {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatalf("n1 did not reload: %s", text)
+		}
+	}
+	// One that the program does not take goes back. The file itself is checked
+	// before anything is sent.
+	writeFile(t, base, []byte("{"))
+	if _, err := SendCommand(r.file.Control, "reload"); err == nil || !strings.Contains(err.Error(), "no JSON") {
+		t.Errorf("a template that is no JSON: %v", err)
+	}
+	writeFile(t, base, []byte(strings.Replace(template, `"cores":1`, `"cores":0`, 1)))
+	r.command(t, "reload")
+	r.rolls(t, 3)
+	if n := strings.Count(r.out.String(), `msg="rolling update finished" instance=fleet succeeded=4 failed=0 rolled_back=false`); n != 2 ||
+		!regexp.MustCompile(`msg="rolling update finished" instance=fleet succeeded=\d+ failed=\d+ rolled_back=true`).MatchString(r.out.String()) {
+		t.Errorf("%d rolls went well, want 2: %s", n, r.out)
+	}
+	for _, words := range [][]string{{"restart", "n9"}, {"dance"}, {"resume"}, {"cancel"}, {"restart", "-program", "/none"}} {
+		if _, err := SendCommand(r.file.Control, words...); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%v: %v", words, err)
+		}
+	}
+	r.command(t, "stop")
+	select {
+	case err := <-r.done:
+		r.done <- err
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(patience):
+		t.Fatalf("not stopped: %s", r.out)
+	}
+	for name, p := range after {
+		if startTime(p[0]) != "" {
+			t.Errorf("%s: process %d still runs", name, p[0])
+		}
+	}
+	if _, err := SendCommand(r.file.Control, "status"); !errors.Is(err, ErrNoSupervisor) {
+		t.Errorf("a dead control socket: %v", err)
+	}
+}
+
+// A roll by hand-over: /up is answered all the while, by the old process or the
+// new one.
+func TestRollingRestartByHandover(t *testing.T) {
+	t.Parallel()
+	path := setup(t, 3, "sidecar", "args = [\"-operator\", \"{dir}/../{name}.toml\"]\n[restart]\nmode = \"handover\"\n")
+	dir := filepath.Dir(path)
+	for i := 1; i <= 3; i++ {
+		text := fmt.Sprintf("[handover]\nsocket = %q\n", filepath.Join(dir, fmt.Sprintf("n%d.sock", i)))
+		writeFile(t, filepath.Join(dir, fmt.Sprintf("n%d.toml", i)), []byte(text))
+	}
+	r := supervise(t, path)
+	before := pids(r.until(t, "3 instances, 3 up"))
+	specs, _ := r.file.Specs()
+	end := make(chan bool)
+	refused := make(chan int)
+	go func() {
+		n := 0
+		for {
+			select {
+			case <-end:
+				refused <- n
+				return
+			default:
+			}
+			c, err := net.DialTimeout("tcp", specs[0].Listen, 5*time.Second)
+			if err != nil {
+				n++
+				continue
+			}
+			c.Close()
+		}
+	}()
+	r.command(t, "restart")
+	after := pids(r.until(t, "roll done: 3 went well, 0 did not"))
+	close(end)
+	if n := <-refused; n > 0 {
+		t.Errorf("%d connections refused", n)
+	}
+	for name, p := range after {
+		if len(p) != 1 || p[0] == before[name][0] {
+			t.Errorf("%s: %v, before %v", name, p, before[name])
+		}
+	}
+}
+
+// A new program that ends at once: two in a row, and the roll goes back to the
+// old one, which is there.
+func TestBadProgramIsRolledBack(t *testing.T) {
+	t.Parallel()
+	path := setup(t, 3, "sidecar", "[crash]\nfirst = \"50ms\"\n")
+	broken := program(t, filepath.Dir(path), "broken")
+	r := supervise(t, path)
+	r.until(t, "3 instances, 3 up")
+	r.command(t, "restart", "-program", broken)
+	r.until(t, "rolled back")
+	r.until(t, "3 instances, 3 up")
+	if !strings.Contains(r.out.String(), `last_output="broken: it ends at once"`) {
+		t.Errorf("the reason is not named: %s", r.out)
+	}
+}
+
+// An instance that crashes starts again, later each time; a crash loop ends it.
+func TestCrashLoop(t *testing.T) {
+	t.Parallel()
+	r := supervise(t, setup(t, 1, "broken", "[crash]\nfirst = \"10ms\"\nmost = \"40ms\"\nloop = 4\n"))
+	r.until(t, "1 given up")
+	if n := strings.Count(r.out.String(), "process exited; restart scheduled"); n != 3 {
+		t.Errorf("%d restarts before it was given up, want 3: %s", n, r.out)
+	}
+}
+
+func TestChildIgnoresSIGTERM(t *testing.T) {
+	t.Parallel()
+	r := supervise(t, setup(t, 1, "stubborn", "[restart]\nend_within = \"300ms\"\n"))
+	before := pids(r.until(t, "1 instances, 1 up"))["n1"]
+	r.command(t, "restart")
+	after := pids(r.until(t, "roll done: 1 went well"))["n1"]
+	if len(after) != 1 || after[0] == before[0] || !strings.Contains(r.out.String(), `msg="process killed" instance=n1 reason="not exited after SIGTERM" limit=300ms`) {
+		t.Errorf("%v, before %v: %s", after, before, r.out)
+	}
+}
+
+// The supervisor is killed and started again: it adopts what runs.
+func TestSupervisorKilled(t *testing.T) {
+	t.Parallel()
+	path := setup(t, 3, "sidecar", "")
+	f, err := LoadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := exec.Command(os.Args[0], path)
+	first.Env = append(os.Environ(), "TEST_RUNS_PROGRAM=supervisor")
+	if err := first.Start(); err != nil {
+		t.Fatal(err)
+	}
+	r := &running{file: f, out: &lockedBuffer{}}
+	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		if _, err := SendCommand(f.Control, "status"); err == nil {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal("the supervisor does not answer")
+		}
+	}
+	before := pids(r.until(t, "3 instances, 3 up"))
+	state := filepath.Join(f.Directory, "state.json")
+	if _, err := New(f, logging.New(r.out, logging.Options{})); !errors.Is(err, ErrDirectoryInUse) {
+		t.Errorf("a second supervisor: %v", err)
+	}
+	if err := first.Process.Kill(); err != nil {
+		t.Fatal(err)
+	}
+	if err := first.Wait(); err == nil {
+		t.Error("the supervisor that was killed ended well")
+	}
+	if _, err := SendCommand(f.Control, "status"); !errors.Is(err, ErrNoSupervisor) || !strings.Contains(err.Error(), "dead control socket") {
+		t.Errorf("the dead control socket: %v", err)
+	}
+	// One of them dies meanwhile; its number is not taken for another's.
+	if err := syscall.Kill(before["n2"][0], syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
+	for startTime(before["n2"][0]) != "" {
+		time.Sleep(time.Millisecond)
+	}
+	// It did not live to write n3 down: that is adopted all the same.
+	text, _ := os.ReadFile(state)
+	var list []savedProcess
+	if err := json.Unmarshal(text, &list); err != nil || len(list) != 3 {
+		t.Fatalf("state %s: %v", text, err)
+	}
+	list = slices.DeleteFunc(list, func(v savedProcess) bool { return v.Name == "n3" })
+	text, _ = json.Marshal(list)
+	writeFile(t, state, text)
+	r2 := supervise(t, path)
+	after := pids(r2.until(t, "3 instances, 3 up"))
+	if !strings.Contains(r2.out.String(), fmt.Sprintf(`msg="running process is not in the state file" instance=n3 pid=%d`, before["n3"][0])) {
+		t.Errorf("not told of n3: %s", r2.out)
+	}
+	for _, name := range []string{"n1", "n3"} {
+		if fmt.Sprint(after[name]) != fmt.Sprint(before[name]) {
+			t.Errorf("%s: processes %v, before %v", name, after[name], before[name])
+		}
+	}
+	if len(after["n2"]) != 1 || after["n2"][0] == before["n2"][0] {
+		t.Errorf("n2: processes %v, before %v", after["n2"], before["n2"])
+	}
+	// What was adopted is watched, and stopped, like a child.
+	if err := syscall.Kill(after["n1"][0], syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
+	r2.until(t, "n1: process exited; restart scheduled: cause=crashed")
+	r2.until(t, "3 instances, 3 up")
+	r2.end(t)
+	for name, p := range after {
+		if startTime(p[0]) != "" {
+			t.Errorf("%s: process %d still runs", name, p[0])
+		}
+	}
+}
+
+// The supervisor was killed in the middle of a hand-over: of the two processes
+// of an instance the one that is up is adopted, the other left to its drain.
+func TestHealthyProcessOfTwoIsAdopted(t *testing.T) {
+	t.Parallel()
+	path := setup(t, 1, "sidecar", "")
+	f, err := LoadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	specs, _ := f.Specs()
+	if err := os.MkdirAll(f.Directory, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	config := filepath.Join(f.Directory, "n1.json")
+	writeFile(t, config, []byte(specs[0].Config))
+	draining, up := exec.Command("sleep", "60"), exec.Command(f.Program)
+	up.Env = append(os.Environ(), "RELAY_CONFIG="+config)
+	list := []string{}
+	for _, c := range []*exec.Cmd{draining, up} {
+		if err := c.Start(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			_ = c.Process.Kill() // the supervisor may have ended it
+			_ = c.Wait()
+		})
+		list = append(list, fmt.Sprintf(`{"name":"n1","listen":%q,"pid":%d,"start":%q}`, specs[0].Listen, c.Process.Pid, startTime(c.Process.Pid)))
+	}
+	if !waitUntilHealthy(context.Background(), specs[0].Listen, func(u healthStatus) bool { return u.pid == up.Process.Pid }) {
+		t.Fatal("not up")
+	}
+	writeFile(t, filepath.Join(f.Directory, "state.json"), []byte("["+strings.Join(list, ",")+"]"))
+	r := supervise(t, path)
+	got := pids(r.until(t, "1 instances, 1 up"))["n1"]
+	if len(got) != 1 || got[0] != up.Process.Pid || !strings.Contains(r.out.String(), fmt.Sprintf(`left to drain" instance=n1 pid=%d`, draining.Process.Pid)) {
+		t.Errorf("adopted %v, want %d: %s", got, up.Process.Pid, r.out)
+	}
+	// A torn state file is named, and nothing adopted of it.
+	if startTime(draining.Process.Pid) == "" {
+		t.Error("the draining one was ended")
+	}
+}
+
+// A process that is not the fleet's on an instance's address.
+func TestForeignProcessOnTheAddress(t *testing.T) {
+	t.Parallel()
+	path := setup(t, 1, "sidecar", "[crash]\nfirst = \"20ms\"\nmost = \"20ms\"\nloop = 100\n")
+	f, err := LoadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	specs, _ := f.Specs()
+	ln, err := net.Listen("tcp", specs[0].Listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := supervise(t, path)
+	r.until(t, "in use by a process outside this fleet")
+	ln.Close()
+	r.until(t, "1 instances, 1 up")
+}
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -33,9 +33,9 @@
 		case 0:
 			return false
 		case 1:
-			io.WriteString(c, "noise")
+			trySend(c, "noise")
 		case 2:
-			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			trySend(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		case 3:
 			time.Sleep(20 * time.Millisecond)
 			return good(c, r, 0)
@@ -50,7 +50,7 @@
 		all.Go(func() {
 			for range 10 {
 				c := dialClient(t, s)
-				io.WriteString(c, readRequest(newID()))
+				trySend(c, readRequest(newID()))
 				if i%3 > 0 {
 					clientAnswer(t, c)
 				}
@@ -67,20 +67,20 @@
 		n := idleConns(s)
 		return poolOpen(s) == n && up.live.Load() == int64(n)
 	})
-	eventually(t, "the budget is whole", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
-	eventually(t, "no client is kept", s.httpServer.Empty)
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Budget().Available()) == 8<<20 })
+	eventually(t, "no client connection is open", s.httpServer.Empty)
 
 	// An upstream that leaves takes its connections along.
 	s.dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Snapshot: true}, 0)
-	eventually(t, "nothing is kept of an upstream that has gone", func() bool {
+	eventually(t, "no connection is left to an upstream that left the list", func() bool {
 		_, _, hosts := engineCounts(s)
 		return hosts == 0 && poolOpen(s) == 0 && up.live.Load() == 0
 	})
 }
 
-// A drain answers what is taken, half-read and just accepted ones included,
-// and ends.
-func TestDrainAnswersWhatIsTaken(t *testing.T) {
+// A drain answers all accepted requests, partially read ones and those on new connections
+// included, and ends.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	asked, answer := make(chan bool, 9), make(chan bool)
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
@@ -91,20 +91,20 @@
 	s := startSidecar(t, up.addr())
 	busy, half, silent := dialClient(t, s), dialClient(t, s), dialClient(t, s)
 	ids := []string{newID(), newID(), newID()}
-	io.WriteString(busy, readRequest(ids[0]))
+	send(t, busy, readRequest(ids[0]))
 	text := readRequest(ids[1])
-	io.WriteString(half, text[:20])
+	send(t, half, text[:20])
 	<-asked
 	ended := make(chan bool)
 	go func() { s.Drain(); close(ended) }()
 	eventually(t, "the drain begins", s.httpServer.Draining)
 	late := dialClient(t, s)
-	io.WriteString(late, readRequest(ids[2]))
-	io.WriteString(half, text[20:])
+	send(t, late, readRequest(ids[2]))
+	send(t, half, text[20:])
 	<-asked
 	<-asked
 	if n, err := io.Copy(io.Discard, silent); n > 0 || err != nil {
-		t.Errorf("the silent one was told %d bytes, %v", n, err)
+		t.Errorf("the idle client received %d bytes, %v", n, err)
 	}
 	close(answer)
 	for i, c := range []net.Conn{busy, half, late} {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -32,7 +32,7 @@
 
 // A change of an older version than the list's is not taken, and the whole list
 // is asked for next.
-func TestOlderChangeIsNotTaken(t *testing.T) {
+func TestOlderDeltaIsNotApplied(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	again := make(chan string, 64)
@@ -42,9 +42,9 @@
 		<-ready
 		switch calls.Add(1) {
 		case 1:
-			io.WriteString(w, listText(9, up.addr()))
+			trySend(w, listText(9, up.addr()))
 		case 2:
-			fmt.Fprintf(w, `{"index":5,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":"left","since_ms":0}]}`, up.addr(), up.addr())
+			trySend(w, fmt.Sprintf(`{"index":5,"snapshot":false,"endpoints":[{"name":"s-%s","address":%q,"zone":"a","group":1,"status":"left","since_ms":0}]}`, up.addr(), up.addr()))
 		default:
 			again <- r.URL.RawQuery
 			<-r.Context().Done()
@@ -64,7 +64,7 @@
 }
 
 // Discovery that takes a call and says nothing is called again in the end.
-func TestSilentDiscoveryIsCalledAgain(t *testing.T) {
+func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	again := make(chan struct{}, 64)
@@ -91,9 +91,11 @@
 	t.Parallel()
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
-		io.Copy(io.Discard, r.Body)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Error(err)
+		}
 		begun <- struct{}{}
-		c.Read(make([]byte, 1))
+		_, _ = c.Read(make([]byte, 1)) // ends when the sidecar closes or resets the connection
 		ended <- struct{}{}
 		return false
 	})
@@ -108,6 +110,6 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second): // its own end is at 6 s
-		t.Error("the work went on without its client")
+		t.Error("the work continued without its client")
 	}
 }
--- a/internal/sidecar/unwritten_test.go
+++ b/internal/sidecar/unwritten_test.go
@@ -24,6 +24,7 @@
 // startBreaking is an upstream that resets its next connection as soon as some
 // of a request is there, if breaks asks for it, and is a good one otherwise.
 func startBreaking(t *testing.T, breaks *atomic.Bool) *upstreamServer {
+	t.Helper()
 	u := &upstreamServer{ln: listen(t), serve: good}
 	go func() {
 		for {
@@ -32,7 +33,7 @@
 				return
 			}
 			if breaks.CompareAndSwap(true, false) {
-				c.Read(make([]byte, 1))
+				_, _ = c.Read(make([]byte, 1)) // the reset follows in any case
 				reset(c)
 				c.Close()
 				continue
@@ -43,9 +44,9 @@
 	return u
 }
 
-// A connection that breaks with a request's first bytes has not got its last:
-// even one that must not run twice is sent again.
-func TestBreakBeforeTheLastByteIsMadeGood(t *testing.T) {
+// A connection that breaks with a request's first bytes has not received its last: even a
+// non-idempotent request is retried.
+func TestDisconnectBeforeTheLastByteIsRetried(t *testing.T) {
 	t.Parallel()
 	for framing := range unsafeRequests {
 		t.Run(framing, func(t *testing.T) {
@@ -54,7 +55,7 @@
 			breaks.Store(true)
 			one, two := startBreaking(t, &breaks), startBreaking(t, &breaks)
 			s := startSidecar(t, one.addr(), two.addr())
-			s.httpPool.Hold = time.Second // for a slow machine
+			s.httpPool.LastByteDelay = time.Second // for a slow machine
 			id, text := unsafeRequest(framing)
 			if r, body := exchange(t, s, text); r == nil || r.StatusCode != http.StatusOK || body != id {
 				t.Errorf("answered %v %q", r, body)
@@ -68,7 +69,7 @@
 }
 
 // After the last byte it may have run, and is not sent again.
-func TestBreakAfterTheLastByteIsNot(t *testing.T) {
+func TestDisconnectAfterTheLastByteIsNotRetried(t *testing.T) {
 	t.Parallel()
 	for framing := range unsafeRequests {
 		t.Run(framing, func(t *testing.T) {
@@ -89,10 +90,10 @@
 
 // The last byte is held back in a sidecar as it starts: the tests above set
 // their own time.
-func TestLastByteIsHeldByDefault(t *testing.T) {
+func TestLastByteIsDelayedByDefault(t *testing.T) {
 	t.Parallel()
 	s := startSidecar(t, startUpstream(t, good).addr())
-	if hold := s.httpPool.Hold; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
-		t.Errorf("the last byte is held for %v, want about 1ms", hold)
+	if hold := s.httpPool.LastByteDelay; hold < 500*time.Microsecond || hold > 5*time.Millisecond {
+		t.Errorf("the last byte is delayed for %v, wanted about 1ms", hold)
 	}
 }
