--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -177,7 +177,7 @@
 	return filepath.Abs(named)
 }
 
-// readyCount returns the sidecar to run, as program does, and the folder of a run.
+// ready returns the sidecar to run, as program does, and the folder of a run.
 func ready(named string) (argv []string, dir string, clean func(), err error) {
 	if argv, err = program(named); err != nil {
 		return nil, "", nil, err
--- a/internal/fleet/configuration/format_test.go
+++ b/internal/fleet/configuration/format_test.go
@@ -12,7 +12,7 @@
 )
 
 // The keys of all that the package marshals are fixed: older relays, sidecars and
-// councils read and write them.
+// coordination clusters read and write them.
 func TestKeysOfMessagesAndState(t *testing.T) {
 	t.Parallel()
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
@@ -83,10 +83,10 @@
 	if want := recordedPoll(); !reflect.DeepEqual(poll, want) {
 		t.Errorf("poll: found %+v, wanted %+v", poll, want)
 	}
-	var answer PollResponse
-	read("answer-snapshot.json", &answer)
-	if want := recordedAnswer(); !reflect.DeepEqual(answer, want) {
-		t.Errorf("answer: found %+v, wanted %+v", answer, want)
+	var response PollResponse
+	read("answer-snapshot.json", &response)
+	if want := recordedResponse(); !reflect.DeepEqual(response, want) {
+		t.Errorf("response: found %+v, wanted %+v", response, want)
 	}
 	var status StatusResponse
 	read("status.json", &status)
@@ -124,7 +124,7 @@
 	}
 }
 
-func recordedAnswer() PollResponse {
+func recordedResponse() PollResponse {
 	resources := []Resource{
 		{Service: "mail", Version: NewVersion(3, 8), Settings: json.RawMessage(recordedText)},
 		{Service: "orders", Version: NewVersion(3, 9), Settings: json.RawMessage(`{"tenants":[]}`)},
--- a/internal/fleet/configuration/subscriber_test.go
+++ b/internal/fleet/configuration/subscriber_test.go
@@ -39,9 +39,9 @@
 	return s, now
 }
 
-func mustHandle(t *testing.T, s *Subscriber, now time.Duration, answer *PollResponse) {
+func mustHandle(t *testing.T, s *Subscriber, now time.Duration, response *PollResponse) {
 	t.Helper()
-	if _, err := s.HandleResponse(now, answer); err != nil {
+	if _, err := s.HandleResponse(now, response); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -76,20 +76,20 @@
 }
 
 func TestSubscriberMovesAndBacksOffAfterARound(t *testing.T) {
-	for _, answer := range []*PollResponse{nil, errorResponse(CodeDraining), errorResponse(CodeBehind), errorResponse(CodeNotReady), errorResponse(CodeFull),
+	for _, response := range []*PollResponse{nil, errorResponse(CodeDraining), errorResponse(CodeBehind), errorResponse(CodeNotReady), errorResponse(CodeFull),
 		errorResponse(CodeWrongRegion), errorResponse(CodeInvalid), errorResponse("unknown"), {}} {
 		s, now := newSubscriber(3, 7), time.Second
 		fail := func() NextPoll {
-			if answer == nil {
+			if response == nil {
 				s.HandleFailure(now)
 			} else {
-				mustHandle(t, s, now, answer)
+				mustHandle(t, s, now, response)
 			}
 			return s.NextPoll(now)
 		}
 		for relay := range 2 {
 			if next := fail(); next.Relay != relay+1 || next.Due != now {
-				t.Fatalf("%+v: found %+v, wanted relay %d immediately", answer, next, relay+1)
+				t.Fatalf("%+v: found %+v, wanted relay %d immediately", response, next, relay+1)
 			}
 		}
 		settings := DefaultSubscriberSettings(3)
@@ -97,7 +97,7 @@
 			next := fail()
 			mean := min(settings.RetryMin<<min(round, 10), settings.RetryMax)
 			if pause := next.Due - now; next.Relay != 0 || pause < mean/2 || pause > max(mean*3/2, 3*pollInterval) {
-				t.Fatalf("%+v: round %d: found %+v, wanted relay 0 after about %v", answer, round, next, mean)
+				t.Fatalf("%+v: round %d: found %+v, wanted relay 0 after about %v", response, round, next, mean)
 			}
 			now = next.Due
 			for range 2 {
@@ -207,7 +207,7 @@
 // Whatever relays respond, and however soon, a subscriber's poll rate is limited.
 func TestPollRateIsBounded(t *testing.T) {
 	version := uint32(1)
-	answers := map[string]func(*Subscriber) *PollResponse{
+	responses := map[string]func(*Subscriber) *PollResponse{
 		"empty immediately": func(*Subscriber) *PollResponse { return currentResponse(v(1, 1)) },
 		"stale immediately": func(*Subscriber) *PollResponse { return staleResponse(v(1, 1)) },
 		"older":             func(*Subscriber) *PollResponse { return currentResponse(v(0, 1)) },
@@ -227,7 +227,7 @@
 			return staleResponse(v(1, 1))
 		},
 	}
-	for name, answer := range answers {
+	for name, response := range responses {
 		for relays := 1; relays <= 4; relays++ {
 			s, now, polls := newSubscriber(relays, 5), time.Duration(0), 0
 			for now < time.Minute {
@@ -236,7 +236,7 @@
 					t.Fatalf("%s: found %+v at %v", name, next, now)
 				}
 				now = next.Due
-				_, _ = s.HandleResponse(now, answer(s))
+				_, _ = s.HandleResponse(now, response(s))
 				polls++
 			}
 			if limit := pollBurst + 1 + int(time.Minute/pollInterval); polls > limit {
@@ -249,9 +249,9 @@
 // A stale relay's update is applied if it is newer than the cache, and its subscriber
 // polls another relay; an invalid age counts as stale.
 func TestStaleRelayIsLeft(t *testing.T) {
-	for _, answer := range []*PollResponse{staleResponse(v(1, 5)), {AgeMS: -1, Update: &Update{Version: v(1, 5)}}} {
+	for _, response := range []*PollResponse{staleResponse(v(1, 5)), {AgeMS: -1, Update: &Update{Version: v(1, 5)}}} {
 		s := newSubscriber(2, 1)
-		mustHandle(t, s, 0, answer)
+		mustHandle(t, s, 0, response)
 		if next := s.NextPoll(0); next.Relay != 1 || next.Due != 0 || s.Version() != v(1, 5) {
 			t.Fatalf("found %+v with version %v, wanted relay 1 immediately with 1.5", next, s.Version())
 		}
@@ -372,10 +372,10 @@
 			return now
 		},
 	}
-	for name, answer := range map[string]*PollResponse{"busy": {ErrorCode: CodeBusy, RetryAfterMS: 900}, "draining": errorResponse(CodeDraining),
+	for name, response := range map[string]*PollResponse{"busy": {ErrorCode: CodeBusy, RetryAfterMS: 900}, "draining": errorResponse(CodeDraining),
 		"not ready": errorResponse(CodeNotReady), "behind": errorResponse(CodeBehind), "stale": staleResponse(v(1, 1)), "older": currentResponse(v(0, 9))} {
 		failures[name] = func(s *Subscriber, now time.Duration) time.Duration {
-			_, _ = s.HandleResponse(now, answer)
+			_, _ = s.HandleResponse(now, response)
 			return now
 		}
 	}
--- a/internal/fleet/relay/cluster_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -112,18 +112,18 @@
 
 func (c *realCluster) members() []string { return c.addresses }
 
-// do asks until there is an answer. A question of the same id is applied once.
-func (c *realCluster) do(question client.Request) *client.Response {
+// do sends a request until there is a response. A change with the same ID is applied once.
+func (c *realCluster) do(request client.Request) *client.Response {
 	c.tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
 	for {
-		answer, err := c.client.Do(ctx, question)
+		response, err := c.client.Do(ctx, request)
 		if err == nil {
-			return answer
+			return response
 		}
 		if !errors.Is(err, client.ErrUnknownOutcome) || ctx.Err() != nil {
-			c.tb.Fatalf("%s: %v", question.Kind, err)
+			c.tb.Fatalf("%s: %v", request.Kind, err)
 		}
 	}
 }
@@ -137,11 +137,11 @@
 		if !c.created[service] {
 			change.IfVersion, c.created[service] = new(configuration.Version), true
 		}
-		answer := c.do(client.Request{Kind: client.ChangeConfiguration, Change: change})
-		if answer.Rejection != "" || answer.Resource == nil {
-			tb.Fatalf("change of %s: %+v", service, answer)
+		response := c.do(client.Request{Kind: client.ChangeConfiguration, Change: change})
+		if response.Rejection != "" || response.Resource == nil {
+			tb.Fatalf("change of %s: %+v", service, response)
 		}
-		version = answer.Resource.Version
+		version = response.Resource.Version
 	}
 	return version
 }
@@ -149,8 +149,8 @@
 // leader returns the index of the leader.
 func (c *realCluster) leader() int {
 	c.tb.Helper()
-	answer := c.do(client.Request{Kind: client.ReadState})
-	return int(answer.Member) - 1
+	response := c.do(client.Request{Kind: client.ReadState})
+	return int(response.Member) - 1
 }
 
 // startChild starts this program with an environment variable that makes it a relay or a
--- a/internal/fleet/relay/follow.go
+++ b/internal/fleet/relay/follow.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"otterspring/internal/bootclock"
-	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/logging"
 )
@@ -184,7 +183,7 @@
 	if !last.known {
 		return "none"
 	}
-	return configuration.Version.String(version)
+	return version.String()
 }
 
 // jitter draws from half of a mean to one and a half of it.
--- a/internal/lab/scale/benchmark_test.go
+++ b/internal/lab/scale/benchmark_test.go
@@ -27,11 +27,11 @@
 	if len(all) != 2 || all[0].Unit != "B/server" || all[1].Unit != "cpu-ns/op" {
 		t.Fatalf("found %+v, wanted the series of B/server and of cpu-ns/op", all)
 	}
-	told := all[1]
-	if told.Name != "Told/keys=false" || told.Parameter != "servers" || len(told.Sizes) != 4 || told.Medians[0] != 120 || told.Sizes[3] != 400 {
-		t.Errorf("found %+v, wanted the medians of four sizes", told)
+	series := all[1]
+	if series.Name != "Told/keys=false" || series.Parameter != "servers" || len(series.Sizes) != 4 || series.Medians[0] != 120 || series.Sizes[3] != 400 {
+		t.Errorf("found %+v, wanted the medians of four sizes", series)
 	}
-	text, err := told.Fit()
+	text, err := series.Fit()
 	if err != nil || !strings.Contains(text, "predicted_over_measured=0.50 BENDS") {
 		t.Errorf("found %q, %v, wanted 420 predicted of 840", text, err)
 	}
--- a/internal/lab/scale/format_test.go
+++ b/internal/lab/scale/format_test.go
@@ -11,8 +11,8 @@
 	"otterspring/internal/keytest"
 )
 
-// The keys of orders to hollow processes and of what is read of a relay are fixed.
-func TestKeysOfOrdersAndRelayInfo(t *testing.T) {
+// The keys of commands to simulators and of the part of a relay's state that is read.
+func TestKeysOfCommandsAndRelayInfo(t *testing.T) {
 	t.Parallel()
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
 		{Role: "order to a process of subscribers", Encoding: "json", Value: Command{}},
@@ -46,7 +46,7 @@
 	}
 }
 
-// A record of a hollow process has the same bytes as before.
+// A simulator's report has the same bytes as before.
 func TestRecordedReport(t *testing.T) {
 	t.Parallel()
 	report := Report{Kind: ReportApplied, Service: 0x0102, Subscriber: 0x03040506, Value: 0x0708090a0b0c0d0e, At: 0x0f10111213141516}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -222,7 +222,7 @@
 
 // recordSample records the memory of all processes, with the rig and its reaper.
 func (r *run) recordSample(idle float64) {
-	council, members := r.control.clusterProcesses.measure()
+	cluster, members := r.control.clusterProcesses.measure()
 	relays, relaysRunning := r.control.relayProcesses.measure()
 	subscribers, hollowRunning := r.hollows.processes.measure()
 	sidecars, sidecarsRunning := r.sidecars.measure()
@@ -231,9 +231,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.idle = idle
-	r.memory = max(r.memory, council.Memory+relays.Memory+subscribers.Memory+sidecars.Memory+own.Memory+reaper.Memory)
+	r.memory = max(r.memory, cluster.Memory+relays.Memory+subscribers.Memory+sidecars.Memory+own.Memory+reaper.Memory)
 	r.processes = max(r.processes, members+relaysRunning+hollowRunning+sidecarsRunning+2)
-	r.samples[RoleCluster] = append(r.samples[RoleCluster], council)
+	r.samples[RoleCluster] = append(r.samples[RoleCluster], cluster)
 	r.samples[RoleRelay] = append(r.samples[RoleRelay], relays)
 	r.samples[RoleSubscriber] = append(r.samples[RoleSubscriber], subscribers)
 }
--- a/internal/lab/scale/topology.go
+++ b/internal/lab/scale/topology.go
@@ -59,7 +59,7 @@
 	return s
 }
 
-// Subscription names the services of a subscriber.
+// Subscription returns the services of a subscriber.
 func (t *Topology) Subscription(s *Subscriber) configuration.Subscription {
 	names := make(configuration.Subscription, len(s.Services))
 	for i, service := range s.Services {
@@ -68,7 +68,7 @@
 	return names
 }
 
-// InZone are the hollow subscribers of a zone, by number.
+// InZone returns the simulated subscribers of a zone, by index.
 func (t *Topology) InZone(zone int) []int {
 	var all []int
 	for i := range t.Simulated {
