--- a/internal/sidecar/coap.go
+++ b/internal/sidecar/coap.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"strings"
 
-	"otterspring/internal/coapupstream"
 	"otterspring/internal/sidecar/coapserver"
+	"otterspring/internal/sidecar/coapupstream"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/httpserver"
 	"otterspring/internal/sidecar/httpupstream"
--- a/internal/coapupstream/pool_test.go
+++ b/internal/sidecar/coapupstream/pool_test.go
@@ -1,6 +1,7 @@
 package coapupstream
 
 import (
+	"errors"
 	"net"
 	"sync/atomic"
 	"testing"
@@ -15,17 +16,22 @@
 
 const patience = 60 * time.Second
 
-// server answers each datagram that can be read by what does says; nil for
-// silence.
-func server(t *testing.T, does func(m *message.Message) [][]byte) (addr string, heard *atomic.Int64) {
+// server starts a server that answers each well-formed request with the datagrams that
+// answerWith returns. It counts the requests received.
+func server(t *testing.T, answerWith func(m *message.Message) [][]byte) (addr string, received *atomic.Int64) {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard = &atomic.Int64{}
+	received = &atomic.Int64{}
 	done := make(chan struct{})
-	t.Cleanup(func() { c.Close(); <-done })
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+		<-done
+	})
 	go func() {
 		defer close(done)
 		buf := make([]byte, 3000)
@@ -38,13 +44,15 @@
 			if message.Decode(buf[:n], &m) != nil || !m.Code.Request() {
 				continue
 			}
-			heard.Add(1)
-			for _, text := range does(&m) {
-				c.WriteToUDPAddrPort(text, peer)
+			received.Add(1)
+			for _, text := range answerWith(&m) {
+				if _, err := c.WriteToUDPAddrPort(text, peer); err != nil && !errors.Is(err, net.ErrClosed) {
+					t.Error(err)
+				}
 			}
 		}
 	}()
-	return c.LocalAddr().String(), heard
+	return c.LocalAddr().String(), received
 }
 
 func answer(m *message.Message, code message.Code) []byte {
@@ -53,20 +61,21 @@
 	return text
 }
 
-type form struct{}
+type native struct{}
 
-func (form) Neutral() dispatch.Message { return dispatch.Message{Target: "/act", ID: "id"} }
+func (native) Neutral() dispatch.Message { return dispatch.Message{Target: "/act", ID: "id"} }
 
-// client is a front's end: the dispatcher wakes it.
+// client is the connection of a request's client, which the dispatcher wakes.
 type client struct{}
 
 func (client) SetDeadline(time.Time) error     { return nil }
 func (client) SetReadDeadline(time.Time) error { return nil }
 
-// ask asks once for what must not run twice, of the servers given.
-func ask(t *testing.T, pool *Pool, deadline time.Duration, addrs ...string) balance.ActionKind {
+// submit submits one non-idempotent request to the servers given, and returns the kind of
+// its result.
+func submit(t *testing.T, pool *Pool, deadline time.Duration, addrs ...string) balance.ActionKind {
 	t.Helper()
-	eng, err := dispatch.New(dispatch.Settings{
+	dispatcher, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond,
 			Classes: []balance.Class{{Name: "act", Aim: deadline, Deadline: deadline, Worth: 1, Effect: balance.Once}}},
 		Seed: 1, DialTimeout: time.Second, OpenUpstream: pool.Open,
@@ -78,18 +87,18 @@
 	for _, a := range addrs {
 		l.Endpoints = append(l.Endpoints, dispatch.Endpoint{Server: balance.Server{ID: a, State: balance.Ready}, Address: a})
 	}
-	eng.UpdateEndpoints(balance.ListFull, l, 0)
-	c := &dispatch.Request{ID: "id", Native: form{}, Conn: client{}, Done: make(chan struct{})}
-	if !eng.Submit(c, balance.Request{ID: "id", Class: "act", Deadline: deadline}) {
-		t.Fatal("not taken")
+	dispatcher.UpdateEndpoints(balance.ListFull, l, 0)
+	c := &dispatch.Request{ID: "id", Native: native{}, Conn: client{}, Done: make(chan struct{})}
+	if !dispatcher.Submit(c, balance.Request{ID: "id", Class: "act", Deadline: deadline}) {
+		t.Fatal("the request was not accepted")
 	}
 	select {
 	case <-c.Done:
 	case <-time.After(patience):
 		t.Fatal("no answer")
 	}
-	// The list without them retires the servers: their sockets are closed.
-	eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 2, Snapshot: true}, 0)
+	// An endpoint list without the servers retires them: their sockets are closed.
+	dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 2, Snapshot: true}, 0)
 	for end := time.Now().Add(patience); pool.Sockets() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d sockets are left", pool.Sockets())
@@ -98,14 +107,14 @@
 	return c.Result.Kind
 }
 
-func newPool(most int) *Pool {
+func newPool(maxSockets int) *Pool {
 	p := exchange.Defaults()
 	p.AckTimeout, p.AckAfter = 100*time.Millisecond, 25*time.Millisecond
-	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{Open: 64, Heard: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, most)
+	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{Open: 64, Heard: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, maxSockets)
 }
 
-// How each kind of server ends what must not run twice: it is refused as harmless
-// only where it surely has not run, and sent to another server only then.
+// A non-idempotent request to misbehaving servers is rejected, or sent to another server,
+// only where it was provably not executed.
 func TestServersThatMisbehave(t *testing.T) {
 	t.Parallel()
 	reset := func(m *message.Message) [][]byte {
@@ -115,17 +124,19 @@
 	noise := func(m *message.Message) [][]byte {
 		return [][]byte{{}, {0xff}, {0x60, 0x45}, make([]byte, 1500), answer(&message.Message{ID: m.ID, Token: []byte("other")}, message.Changed)}
 	}
-	gone, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	closed, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := gone.LocalAddr().String()
-	gone.Close()
+	unused := closed.LocalAddr().String()
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
 	good := func(m *message.Message) [][]byte { return [][]byte{answer(m, message.Changed)} }
 	for name, c := range map[string]struct {
-		does  func(m *message.Message) [][]byte // of both servers
-		want  balance.ActionKind
-		heard int64 // at most
+		answerWith func(m *message.Message) [][]byte // of both servers
+		want       balance.ActionKind
+		received   int64 // at most
 	}{
 		"good":            {good, balance.Send, 1},
 		"rejects all":     {reset, balance.Refuse, 4},
@@ -141,27 +152,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			one, h1 := server(t, c.does)
-			two, h2 := server(t, c.does)
-			if got := ask(t, newPool(8), 2*time.Second, one, two); got != c.want {
+			one, h1 := server(t, c.answerWith)
+			two, h2 := server(t, c.answerWith)
+			if got := submit(t, newPool(8), 2*time.Second, one, two); got != c.want {
 				t.Errorf("ended as %v, want %v", got, c.want)
 			}
-			if n := h1.Load() + h2.Load(); n > c.heard {
-				t.Errorf("%d datagrams came, want %d at most", n, c.heard)
+			if n := h1.Load() + h2.Load(); n > c.received {
+				t.Errorf("%d datagrams came, want %d at most", n, c.received)
 			}
 		})
 	}
 	t.Run("nobody there", func(t *testing.T) {
 		t.Parallel()
-		if got := ask(t, newPool(8), 2*time.Second, nobody); got != balance.Refuse {
+		if got := submit(t, newPool(8), 2*time.Second, unused); got != balance.Refuse {
 			t.Errorf("ended as %v, want a refusal", got)
 		}
 	})
 	t.Run("no socket left", func(t *testing.T) {
 		t.Parallel()
-		one, heard := server(t, good)
-		if got := ask(t, newPool(0), 2*time.Second, one); got != balance.Refuse || heard.Load() != 0 {
-			t.Errorf("ended as %v with %d datagrams", got, heard.Load())
+		one, received := server(t, good)
+		if got := submit(t, newPool(0), 2*time.Second, one); got != balance.Refuse || received.Load() != 0 {
+			t.Errorf("ended as %v with %d datagrams", got, received.Load())
 		}
 	})
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fastjson"
 
 	"otterspring/balance"
-	"otterspring/internal/coapupstream"
 	"otterspring/internal/disk"
+	"otterspring/internal/sidecar/coapupstream"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/wire"
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -5,7 +5,7 @@
 	"net"
 
 	"otterspring/balance"
-	"otterspring/internal/coapupstream"
+	"otterspring/internal/sidecar/coapupstream"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 )
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/coapupstream"
 	"otterspring/internal/sidecar/coapserver"
+	"otterspring/internal/sidecar/coapupstream"
 	"otterspring/internal/sidecar/configclient"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
