--- a/internal/fleet/configuration/simulation_subscriber_test.go
+++ b/internal/fleet/configuration/simulation_subscriber_test.go
@@ -110,6 +110,9 @@
 
 // handleLateResponse applies the update of a response whose poll has timed out.
 func (s *simulatedSubscriber) handleLateResponse(response *PollResponse) {
+	if s.subscriber == nil {
+		return // its process has ended, and the next one has not started
+	}
 	if response.Update != nil {
 		changes, _ := s.subscriber.Cache().Apply(*response.Update)
 		s.checkChanges(changes)
