--- a/internal/lab/rig/council.go
+++ b/internal/lab/rig/council.go
@@ -21,39 +21,40 @@
 	"otterspring/internal/lab/history"
 )
 
-// owned is what is seen of a council and the duty roll.
-type owned struct {
-	members []*host
-	file    string
-	address map[string]string // of m1, f1
-	begun   map[string]bool   // members that began once
-	starts  map[string]map[string][]int
-	struck  map[int]string // whom a fault on owner or leader met
-	res     experiment.Owned
-	vacant  time.Duration     // since when the owner is known to be gone; 0 for not
-	owner   string            // role of the supervisor that owns
-	sleeps  string            // role of the one that is gone
-	rolling map[string]string // instances that are under way, and for which order
-	epochs  map[string]uint64 // newest that each supervisor said that it owns, or has heard of
-	tenures map[uint64]*tenure
-	list    *listRun // nil where the list is not relayed
+// coordinationRun is what is observed of a coordination cluster and the lease of the
+// rollout in one run. The mutex of hosts guards it.
+type coordinationRun struct {
+	members          []*host
+	file             string
+	addresses        map[string]string // of m1, f1
+	bootstrapped     map[string]bool   // members that were started once
+	startedProcesses map[string]map[string][]int
+	faultTargets     map[int]string // role that a fault on "owner", "lister" or "leader" was applied to, by fault
+	results          experiment.Owned
+	vacantSince      time.Duration     // since when the holder is known to be killed or suspended; 0 for not
+	holder           string            // role of the supervisor that has the lease
+	formerHolder     string            // role of the one that was killed or suspended
+	inProgress       map[string]string // operations of the instances in progress
+	tokens           map[string]uint64 // newest that each supervisor has or has seen
+	terms            map[uint64]*leadershipTerm
+	list             *endpointListRun // nil where the list is not relayed
 }
 
-// tenure is one owner's time by its own count: from what it said when it began to
-// when its lease was over, by its own clock. to is 0 for one that never said so.
-type tenure struct{ from, to time.Duration }
+// leadershipTerm is the time of one leadership as its holder logs it: from its begin to
+// the end of its lease, by the holder's clock. to is 0 where that was not logged.
+type leadershipTerm struct{ from, to time.Duration }
 
-// wordsLate is by how much the rig may hear what one process says later than what
-// another does. A lease that is too long shows as seconds.
-const wordsLate = 250 * time.Millisecond
+// maxLogDelay is by how much later the rig may read one process's log than another's.
+// A lease that is too long shows as seconds.
+const maxLogDelay = 250 * time.Millisecond
 
-// overlaps counts the tenures that had not ended when a later one began. Whether an
-// effect came of it the fences decide; this says whether leases alone would have
-// held.
-func overlaps(all map[uint64]*tenure) (n int) {
+// countOverlaps counts the terms that had not ended when a later one began. Fences
+// decide whether a command came of it; this shows whether leases alone would have
+// sufficed.
+func countOverlaps(all map[uint64]*leadershipTerm) (n int) {
 	for i, a := range all {
 		for j, b := range all {
-			if i < j && a.to > b.from+wordsLate {
+			if i < j && a.to > b.from+maxLogDelay {
 				n++
 				break
 			}
@@ -95,7 +96,7 @@
 	if c.Members == 0 {
 		return nil
 	}
-	o := &owned{file: h.w.path("council.toml"), address: map[string]string{}, begun: map[string]bool{}, struck: map[int]string{}, starts: map[string]map[string][]int{}, rolling: map[string]string{}, epochs: map[string]uint64{}, tenures: map[uint64]*tenure{}}
+	o := &coordinationRun{file: h.w.path("council.toml"), addresses: map[string]string{}, bootstrapped: map[string]bool{}, faultTargets: map[int]string{}, startedProcesses: map[string]map[string][]int{}, inProgress: map[string]string{}, tokens: map[string]uint64{}, terms: map[uint64]*leadershipTerm{}}
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"world\"\ndirectory = \"council\"\nlease = %q\nmargin = %q\ntick = %q\n", c.Lease, c.Margin, c.Tick)
 	var held []net.Listener
@@ -105,7 +106,7 @@
 			return err
 		}
 		held = append(held, ln)
-		o.address[role] = ln.Addr().String()
+		o.addresses[role] = ln.Addr().String()
 		return nil
 	}
 	defer func() {
@@ -118,7 +119,7 @@
 		if err := take(role); err != nil {
 			return err
 		}
-		fmt.Fprintf(&b, "[[member]]\nnumber = %d\naddress = %q\n", n+1, o.address[role])
+		fmt.Fprintf(&b, "[[member]]\nnumber = %d\naddress = %q\n", n+1, o.addresses[role])
 		o.members = append(o.members, &host{name: fmt.Sprintf("c%d", n+1), role: role})
 	}
 	for n := range h.plan.Storm.World.Hosts {
@@ -126,7 +127,7 @@
 			return err
 		}
 	}
-	h.owned = o
+	h.coordination = o
 	if c.List {
 		if err := h.newList(take); err != nil {
 			return err
@@ -137,167 +138,167 @@
 
 // councilOf is what a host's fleet file says of the council.
 func (h *hosts) councilOf(one *host) string {
-	if h.owned == nil {
+	if h.coordination == nil {
 		return ""
 	}
 	var members []string
-	for _, m := range h.owned.members {
-		members = append(members, strconv.Quote(h.owned.address[m.role]))
+	for _, m := range h.coordination.members {
+		members = append(members, strconv.Quote(h.coordination.addresses[m.role]))
 	}
 	return fmt.Sprintf("[council]\nname = \"world\"\nmembers = [%s]\nhost = %q\nzone = %q\nlisten = %q\n",
-		strings.Join(members, ", "), one.name, h.zoneOf(one), h.owned.address[one.role]) + h.listTable(one)
+		strings.Join(members, ", "), one.name, h.zoneOf(one), h.coordination.addresses[one.role]) + h.listTable(one)
 }
 
 // argv is what a role is started with. The caller holds the mutex.
 func (h *hosts) argv(one *host) []string {
 	argv := slices.Clone(h.w.opt.Supervisor)
-	if one.old {
+	if one.earlierVersion {
 		argv = []string{h.w.opt.OldSupervisor}
 	}
 	if one.role[0] != 'm' {
 		return append(argv, "fleet", "run", one.file)
 	}
 	argv = append(argv, "council", "run", "-member", one.role[1:])
-	if !h.owned.begun[one.role] {
+	if !h.coordination.bootstrapped[one.role] {
 		// A member that was killed before it had a state begins anew; the word is for
 		// that alone.
 		if _, err := os.Stat(filepath.Join(h.w.opt.Dir, "council", "member-"+one.role[1:], "council.db")); err != nil {
 			argv = append(argv, "-new")
 		}
-		h.owned.begun[one.role] = true
+		h.coordination.bootstrapped[one.role] = true
 	}
-	return append(argv, h.owned.file)
+	return append(argv, h.coordination.file)
 }
 
-func epochOf(space, number string) uint64 {
+func tokenOf(space, number string) uint64 {
 	a, _ := strconv.ParseUint(space, 10, 32)
 	b, _ := strconv.ParseUint(number, 10, 32)
 	return a<<32 | b
 }
 
-// heard takes an event of a supervisor.
-func (h *hosts) heard(role string, event supervisorEvent) {
-	if h.owned == nil {
+// observe records an event of a supervisor.
+func (h *hosts) observe(role string, event supervisorEvent) {
+	if h.coordination == nil {
 		return
 	}
 	if event.kind == commandAccepted {
-		h.heardAccepted(event)
+		h.observeCommand(event)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.w.Log.Now()
 	switch event.kind {
 	case leadershipAcquired:
-		h.heardLeadership(role, now, event)
+		h.observeLeadership(role, now, event)
 	case leadershipEnded:
 		if event.lease != rollLease {
 			return
 		}
-		if t := h.owned.tenures[event.token]; t != nil {
+		if t := h.coordination.terms[event.token]; t != nil {
 			t.to = now - event.expiredFor
 		}
-		if h.owned.owner == role {
-			h.owned.owner = ""
+		if h.coordination.holder == role {
+			h.coordination.holder = ""
 		}
 	case commandAccepted:
-		h.owned.rolling[event.instance] = event.operation
-		h.owned.res.Most = max(h.owned.res.Most, len(h.owned.rolling))
+		h.coordination.inProgress[event.instance] = event.operation
+		h.coordination.results.Most = max(h.coordination.results.Most, len(h.coordination.inProgress))
 		zones := map[string]int{}
-		for name := range h.owned.rolling {
+		for name := range h.coordination.inProgress {
 			zone := h.zoneOf(h.host(name))
 			zones[zone]++
-			h.owned.res.MostZone = max(h.owned.res.MostZone, zones[zone])
+			h.coordination.results.MostZone = max(h.coordination.results.MostZone, zones[zone])
 		}
 		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: "roll-of-all", Op: event.operation, Value: event.instance, Number: event.token, Result: history.Done})
 	case leaseHolderChanged:
-		// From here on nothing older may take place at this receiver.
+		// From here on this receiver must not run older commands.
 		duty := "roll-of-all"
 		if event.lease == rollLease {
-			h.owned.epochs[role] = max(h.owned.epochs[role], event.token)
+			h.coordination.tokens[role] = max(h.coordination.tokens[role], event.token)
 		} else {
 			duty = event.lease
-			h.owned.list.sawEpoch(role, event.token)
+			h.coordination.list.observeToken(role, event.token)
 		}
 		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: duty, Op: "look", Number: event.token, Result: history.Done})
 	case listApplied:
 		index, _ := strconv.ParseUint(event.version, 10, 64)
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.listDuty(role), Op: "list", Number: event.token, Value: event.version, Result: history.Done})
-		h.note(history.Entry{Event: audit.Event{Do: history.Saw, At: now}, Who: fmt.Sprintf("%s#%d", role, h.host(role).sup.cmd.Process.Pid), Key: "list", Number: index})
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.listLease(role), Op: "list", Number: event.token, Value: event.version, Result: history.Done})
+		h.note(history.Entry{Event: audit.Event{Do: history.Saw, At: now}, Who: fmt.Sprintf("%s#%d", role, h.host(role).supervisor.cmd.Process.Pid), Key: "list", Number: index})
 	case commandFenced:
 		if event.uninitialized {
-			h.owned.res.Unheard++ // it knew of no epoch, and took nothing
+			h.coordination.results.Unheard++ // the fence had observed no holder yet
 		} else {
-			h.owned.res.LateTried++
+			h.coordination.results.LateTried++
 		}
-		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.dutyOf(role, event.command), Op: event.command, Number: event.token, Result: history.Refused})
+		h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: now}, Who: event.holder, To: role, Duty: h.leaseOf(role, event.command), Op: event.command, Number: event.token, Result: history.Refused})
 	}
 }
 
 // rollLease is the lease whose holder leads rolling restarts across all hosts.
 const rollLease = "roll"
 
-// heardAccepted takes that a supervisor begins a restart or a reload of an instance.
-func (h *hosts) heardAccepted(event supervisorEvent) {
-	// One that was started for the order before, and is started for it again; what
-	// crashed since bears the order without being taken.
+// observeCommand records that a supervisor begins a restart or a reload of an instance.
+func (h *hosts) observeCommand(event supervisorEvent) {
+	// An instance that was started for the operation before is started for it again; one
+	// that crashed since has the operation without a command.
 	h.mu.Lock()
-	if len(h.owned.starts[event.operation][event.instance]) > 0 {
-		h.owned.res.Twice++
+	if len(h.coordination.startedProcesses[event.operation][event.instance]) > 0 {
+		h.coordination.results.Twice++
 	}
 	h.mu.Unlock()
-	h.lookOnce()
+	h.scanOnce()
 	if event.command == "reload" {
-		// No process is started for it: the one that is there is.
+		// No process is started for a reload: the running one counts.
 		pid := h.instance(event.instance).upPid()
 		h.mu.Lock()
 		h.startedFor(event.operation, event.instance, pid)
 		h.mu.Unlock()
 	}
-	h.rolled()
+	h.observeCompleted()
 }
 
-// heardLeadership takes that a supervisor has a lease. The caller holds the mutex.
-func (h *hosts) heardLeadership(role string, now time.Duration, event supervisorEvent) {
+// observeLeadership records that a supervisor has a lease. The caller holds the mutex.
+func (h *hosts) observeLeadership(role string, now time.Duration, event supervisorEvent) {
 	if event.lease != rollLease {
-		h.owned.list.owns(role, event.token)
+		h.coordination.list.observeHolder(role, event.token)
 		return
 	}
-	h.owned.res.Handovers++
-	if h.owned.vacant > 0 {
-		h.owned.res.Gaps = append(h.owned.res.Gaps, now-h.owned.vacant)
-		h.owned.vacant = 0
+	h.coordination.results.Handovers++
+	if h.coordination.vacantSince > 0 {
+		h.coordination.results.Gaps = append(h.coordination.results.Gaps, now-h.coordination.vacantSince)
+		h.coordination.vacantSince = 0
 	}
-	h.owned.owner = role
-	h.owned.epochs[role] = event.token
-	h.owned.tenures[event.token] = &tenure{from: now}
+	h.coordination.holder = role
+	h.coordination.tokens[role] = event.token
+	h.coordination.terms[event.token] = &leadershipTerm{from: now}
 }
 
-// rolled looks which instances that were under way for an order are up with it.
-func (h *hosts) rolled() {
-	if h.owned == nil {
+// observeCompleted removes the instances in progress that are up for their operation.
+func (h *hosts) observeCompleted() {
+	if h.coordination == nil {
 		return
 	}
 	h.mu.Lock()
-	names := maps.Clone(h.owned.rolling)
+	names := maps.Clone(h.coordination.inProgress)
 	h.mu.Unlock()
 	for name, order := range names {
 		pid := h.instance(name).upPid()
 		h.mu.Lock()
-		if slices.Contains(h.owned.starts[order][name], pid) {
-			delete(h.owned.rolling, name)
+		if slices.Contains(h.coordination.startedProcesses[order][name], pid) {
+			delete(h.coordination.inProgress, name)
 		}
 		h.mu.Unlock()
 	}
 }
 
-// resolve names the process that "owner" or "leader" is when a fault begins; it
-// ends on the same.
+// resolve names the process that "owner", "lister" or "leader" is when a fault begins;
+// the fault ends on the same one.
 func (h *hosts) resolve(st experiment.Step) string {
 	if st.Proc != "owner" && st.Proc != "leader" && st.Proc != "lister" {
 		return st.Proc
 	}
 	if st.Do == experiment.End {
-		return h.owned.struck[st.Fault]
+		return h.coordination.faultTargets[st.Fault]
 	}
 	role := "f1"
 	switch st.Proc {
@@ -305,31 +306,31 @@
 		role = h.leader()
 	case "lister":
 		h.mu.Lock()
-		if h.owned.list.owner != "" {
-			role = h.owned.list.owner
+		if h.coordination.list.holder != "" {
+			role = h.coordination.list.holder
 		}
 		h.mu.Unlock()
 	default:
 		h.mu.Lock()
-		if h.owned.owner != "" {
-			role = h.owned.owner
+		if h.coordination.holder != "" {
+			role = h.coordination.holder
 		}
 		h.mu.Unlock()
 	}
-	h.owned.struck[st.Fault] = role // the steps come from one goroutine
+	h.coordination.faultTargets[st.Fault] = role // the steps come from one goroutine
 	return role
 }
 
-// awaitFollowed waits until all other supervisors have heard of an owner after the
-// one that a role is, by an effect of that one, and bounds the wait; false where the
-// run ends first. list says that the duty list is meant, otherwise the roll. How long a hand-over takes is the machine's matter: a stop of a set
-// length that is to end behind it ends before it on a slow one.
+// awaitFollowed waits, within a bound, until all other supervisors have seen a newer
+// token than a role has; false where the run ends first. list selects the lease of the
+// endpoint list instead of the rollout's. How long a new leadership takes depends on the
+// machine: a suspension of a fixed length would end before it on a slow one.
 func (h *hosts) awaitFollowed(role string, list bool) bool {
 	for range mostFollows {
 		h.mu.Lock()
-		epochs := h.owned.epochs
+		epochs := h.coordination.tokens
 		if list {
-			epochs = h.owned.list.epochs
+			epochs = h.coordination.list.tokens
 		}
 		mine, all := epochs[role], true
 		for _, one := range h.all {
@@ -342,20 +343,20 @@
 		select {
 		case <-h.end:
 			return false
-		case <-time.After(lookEvery):
+		case <-time.After(scanInterval):
 		}
 	}
 	return true
 }
 
-// mostFollows bounds, in looks of lookEvery, how long an owner is waited for.
+// mostFollows bounds the wait for a newer holder, in intervals of scanInterval.
 const mostFollows = 600
 
-// leader asks the members which of them leads; the first where none says so.
+// leader asks the members which of them leads; the first where none does.
 func (h *hosts) leader() string {
-	for _, m := range h.owned.members {
+	for _, m := range h.coordination.members {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		a, err := client.Call(ctx, &quickClient, h.owned.address[m.role], "world", client.Request{Kind: client.WatchLeases})
+		a, err := client.Call(ctx, &quickClient, h.coordination.addresses[m.role], "world", client.Request{Kind: client.WatchLeases})
 		cancel()
 		if err == nil && a.IsLeader {
 			return m.role
@@ -364,32 +365,32 @@
 	return "m1"
 }
 
-// lost notes that a role was killed or stopped. The caller holds the mutex.
-func (h *hosts) lost(role string) {
-	if h.owned != nil && h.owned.owner == role && h.owned.vacant == 0 {
-		h.owned.vacant = h.w.Log.Now()
-		h.owned.owner, h.owned.sleeps = "", role
+// recordHolderLost records that a role was killed or suspended. The caller holds the mutex.
+func (h *hosts) recordHolderLost(role string) {
+	if h.coordination != nil && h.coordination.holder == role && h.coordination.vacantSince == 0 {
+		h.coordination.vacantSince = h.w.Log.Now()
+		h.coordination.holder, h.coordination.formerHolder = "", role
 	}
 }
 
-// goesOn notes that processes were woken: one that nobody has followed within its
-// lease owns on.
-func (h *hosts) goesOn(name string) {
+// recordResumed records that processes were resumed: a former holder that nobody has
+// followed within its lease still has it.
+func (h *hosts) recordResumed(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.owned == nil || h.owned.vacant == 0 {
+	if h.coordination == nil || h.coordination.vacantSince == 0 {
 		return
 	}
-	for _, f := range h.of(name) {
-		if f.name == h.owned.sleeps {
-			h.owned.vacant, h.owned.owner = 0, f.name
+	for _, f := range h.processesOf(name) {
+		if f.name == h.coordination.formerHolder {
+			h.coordination.vacantSince, h.coordination.holder = 0, f.name
 		}
 	}
 }
 
-// ordered notes for which order a process was started. The caller holds the mutex.
-func (h *hosts) ordered(name string, pid int, env []byte) {
-	if h.owned == nil {
+// observeProcess records for which operation a process was started. The caller holds the mutex.
+func (h *hosts) observeProcess(name string, pid int, env []byte) {
+	if h.coordination == nil {
 		return
 	}
 	for _, v := range bytes.Split(env, []byte{0}) {
@@ -401,41 +402,41 @@
 	}
 }
 
-// startedFor notes the process that an instance has for an order. The caller holds
-// the mutex.
+// startedFor records the process that an instance has for an operation. The caller
+// holds the mutex.
 func (h *hosts) startedFor(order, name string, pid int) {
-	of := h.owned.starts[order]
+	of := h.coordination.startedProcesses[order]
 	if of == nil {
 		of = map[string][]int{}
-		h.owned.starts[order] = of
+		h.coordination.startedProcesses[order] = of
 	}
 	of[name] = append(of[name], pid)
 }
 
-// mostWaits bounds how often, twice a second, an order is looked for that is still
-// under way when the load is over.
+// mostWaits bounds the polls, twice a second, for an operation that is still pending
+// after the load.
 const mostWaits = 120
 
-// ownedResult asks the council which orders were carried out, and holds what was started
-// against them. The caller does not hold the mutex.
-func (h *hosts) ownedResult() *experiment.Owned {
-	if h.owned == nil {
+// coordinationResult compares the operations that the cluster has with the processes
+// that were started for them. The caller does not hold the mutex.
+func (h *hosts) coordinationResult() *experiment.Owned {
+	if h.coordination == nil {
 		return nil
 	}
 	var out []byte
 	for range mostWaits {
-		argv := append(slices.Clone(h.w.opt.Supervisor), "council", "duties", h.owned.file)
+		argv := append(slices.Clone(h.w.opt.Supervisor), "council", "duties", h.coordination.file)
 		text, err := exec.Command(argv[0], argv[1:]...).Output()
 		if out = text; err == nil && !bytes.Contains(text, []byte("under way")) {
 			break
 		}
-		time.Sleep(500 * time.Millisecond) // what is under way has its time to end
+		time.Sleep(500 * time.Millisecond) // a pending operation has time to complete
 	}
-	h.lookOnce()
+	h.scanOnce()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res := &h.owned.res
-	res.Overlaps = overlaps(h.owned.tenures)
+	res := &h.coordination.results
+	res.Overlaps = countOverlaps(h.coordination.terms)
 	res.List = h.listResult()
 	for _, line := range strings.Split(string(out), "\n") {
 		var id string
@@ -447,7 +448,7 @@
 			continue
 		}
 		res.Done++
-		res.LeftOut += len(h.w.Instances) - len(h.owned.starts[id])
+		res.LeftOut += len(h.w.Instances) - len(h.coordination.startedProcesses[id])
 	}
 	return res
 }
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -67,7 +67,7 @@
 	h.note(history.Entry{Event: audit.Event{Do: history.Fault, At: at}, End: end, Who: st.Proc, Op: f.Kind, Value: f.Point + f.Disk + f.Peer + f.Order})
 }
 
-// struck notes a fault that took place at a point of the code, now that it ends: it
+// faultTargets notes a fault that took place at a point of the code, now that it ends: it
 // began when the process left its mark.
 func (h *hosts) struck(st experiment.Step, f *experiment.Fault) {
 	h.mu.Lock()
@@ -87,8 +87,8 @@
 	switch f.Kind {
 	case "stop":
 		h.mu.Lock()
-		for _, p := range h.of(st.Proc) {
-			h.lost(p.name)
+		for _, p := range h.processesOf(st.Proc) {
+			h.recordHolderLost(p.name)
 		}
 		h.mu.Unlock()
 		return h.hold(st.Proc, true) > 0, nil
@@ -116,7 +116,7 @@
 	case "version":
 		if st.Proc[0] == 'm' {
 			h.mu.Lock()
-			h.host(st.Proc).old = f.Program == "old"
+			h.host(st.Proc).earlierVersion = f.Program == "old"
 			h.mu.Unlock()
 			return h.kill(st.Proc), nil
 		}
@@ -149,7 +149,7 @@
 	switch f.Kind {
 	case "stop":
 		h.hold(st.Proc, false)
-		h.goesOn(st.Proc)
+		h.recordResumed(st.Proc)
 	case "host-down":
 		one := h.host(st.Proc)
 		sup, down := h.supervisor(one)
@@ -196,7 +196,7 @@
 func (h *hosts) supervisor(one *host) (*Process, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return one.sup, one.down
+	return one.supervisor, one.down
 }
 
 // takeDown notes that a host goes down; false where it is down already.
@@ -234,16 +234,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, f := range h.of(name) {
+	for _, f := range h.processesOf(name) {
 		key := fmt.Sprint(f.pid)
 		if on {
 			h.stopped[key]++
-			unix.PidfdSendSignal(f.fd, syscall.SIGSTOP, nil, 0)
+			unix.PidfdSendSignal(f.pidfd, syscall.SIGSTOP, nil, 0)
 			h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "stopped", Number: uint64(f.pid)})
 		} else if h.stopped[key] > 0 {
 			// One that was started meanwhile was not stopped.
 			if h.stopped[key]--; h.stopped[key] == 0 {
-				unix.PidfdSendSignal(f.fd, syscall.SIGCONT, nil, 0)
+				unix.PidfdSendSignal(f.pidfd, syscall.SIGCONT, nil, 0)
 				h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "woken", Number: uint64(f.pid)})
 			}
 		}
@@ -272,19 +272,19 @@
 // is killed by itself is started again; instances have one who does so.
 func (h *hosts) kill(name string) bool {
 	h.mu.Lock()
-	all := h.of(name)
+	all := h.processesOf(name)
 	for _, f := range all {
 		if f.name[0] == 'n' {
 			h.w.Log.Dying(f.name)
 		} else {
-			f.host.sup.over.Store(true)
+			f.host.supervisor.over.Store(true)
 		}
 	}
 	// Supervisors first: they would start what is killed before them anew.
-	slices.SortStableFunc(all, func(a, b *found) int { return int(a.name[0]) - int(b.name[0]) })
+	slices.SortStableFunc(all, func(a, b *foundProcess) int { return int(a.name[0]) - int(b.name[0]) })
 	for _, f := range all {
-		unix.PidfdSendSignal(f.fd, syscall.SIGKILL, nil, 0)
-		h.lost(f.name)
+		unix.PidfdSendSignal(f.pidfd, syscall.SIGKILL, nil, 0)
+		h.recordHolderLost(f.name)
 		h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "killed", Number: uint64(f.pid)})
 	}
 	h.mu.Unlock()
@@ -358,7 +358,7 @@
 				if to == "d1" {
 					to += name // discovery has a door for each
 				}
-				fmt.Fprintf(&b, "cut %s\n", h.owned.address[to])
+				fmt.Fprintf(&b, "cut %s\n", h.coordination.addresses[to])
 			}
 		}
 	}
@@ -370,7 +370,7 @@
 func (h *hosts) descriptors(name string, on bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := h.of(name)
+	all := h.processesOf(name)
 	for _, f := range all {
 		var limit unix.Rlimit
 		if unix.Prlimit(f.pid, unix.RLIMIT_NOFILE, nil, &limit) != nil {
@@ -391,7 +391,7 @@
 
 // way sets a way as all faults on it want it together.
 func (h *hosts) way(name string, f *experiment.Fault) error {
-	r := h.ways[wayKey{name, f.Peer}]
+	r := h.links[linkKey{name, f.Peer}]
 	h.mu.Lock()
 	to, from, half, drop := false, false, false, f.Kind == "way-cut" && f.Held == "drop"
 	late, breaks := time.Duration(0), 0.0
@@ -443,7 +443,7 @@
 		if do == "give-up" {
 			argv = append(argv, "-duty", "roll")
 		}
-		h.give(ctx, st, f, one, do, append(argv, h.owned.file))
+		h.give(ctx, st, f, one, do, append(argv, h.coordination.file))
 		return
 	case "everywhere", "everywhere-reload":
 		verb := "restart"
--- a/internal/lab/rig/hosts.go
+++ b/internal/lab/rig/hosts.go
@@ -27,9 +27,9 @@
 	"otterspring/internal/lab/standin/relay"
 )
 
-// hosts are a world's groups of processes that share a fate and a directory, each
-// a supervisor and its instances, and the faults between all of them. Its steps
-// come from one goroutine, what processes do from others.
+// hosts are a world's groups of processes that fail together and share a directory,
+// each a supervisor and its instances, with the faults between all of them. One
+// goroutine applies the steps of the plan; others observe the processes.
 type hosts struct {
 	w    *World
 	plan *experiment.Plan
@@ -40,62 +40,62 @@
 	end chan struct{}
 	wg  sync.WaitGroup
 
-	mu       sync.Mutex
-	sessions map[int]*host          // each supervisor's session, those that have ended, too
-	procs    map[int]*found         // by number, those that have not ended
-	active   map[string]map[int]int // faults of the plan on each process, by their number
-	stopped  map[string]int         // how many faults stop a process
-	begun    map[string]time.Duration
-	ways     map[wayKey]*relay.Relay
-	played   map[string]int // kinds that took place
-	errs     []error
-	started  int
-	orders   int // orders that a supervisor took
-	kills    int // by supervisors' own decision
-	atOnce   int // instances under way at a time, the most
-	under    map[string]time.Duration
-	owned    *owned        // nil without a council
-	since    time.Duration // when the processes were started
+	mu              sync.Mutex
+	sessions        map[int]*host          // each supervisor's session, those that have ended, too
+	processes       map[int]*foundProcess  // by number, those that have not ended
+	active          map[string]map[int]int // faults of the plan on each process, by their number
+	stopped         map[string]int         // how many faults suspend a process
+	begun           map[string]time.Duration
+	links           map[linkKey]*relay.Relay
+	played          map[string]int // faults that were applied, by kind
+	errs            []error
+	started         int
+	orders          int // operations that a supervisor accepted
+	kills           int // by supervisors' own decision
+	maxInProgress   int // most instances in progress at a time
+	inProgressSince map[string]time.Duration
+	coordination    *coordinationRun // nil without a coordination cluster
+	since           time.Duration    // when the processes were started
 }
 
 // host is a supervisor with its instances.
 type host struct {
-	name, role string // h1, f1
-	file       string
-	mine       []*Instance
-	sup        *Process
-	down       bool
-	old        bool // a member that is of the earlier version
-	broken     bool // a disk or descriptors fail: a supervisor that ends then has its reason
+	name, role     string // h1, f1
+	file           string
+	instances      []*Instance
+	supervisor     *Process
+	down           bool
+	earlierVersion bool // it runs the earlier version
+	broken         bool // a disk or descriptors fail: a supervisor that ends then has its reason
 }
 
-// found is a process of the world, found among all of the machine.
-type found struct {
-	pid  int
-	name string // n3, f1
-	host *host
-	fd   int
+// foundProcess is a process of the world, found among all of the machine.
+type foundProcess struct {
+	pid   int
+	name  string // n3, f1
+	host  *host
+	pidfd int
 }
 
-// wayKey is a way of the rig's own between a sidecar and its peer.
-type wayKey struct{ name, peer string }
+// linkKey is a link between a sidecar and its peer that the rig relays.
+type linkKey struct{ name, peer string }
 
 const (
-	lookEvery   = 50 * time.Millisecond
-	starveEvery = 100 * time.Millisecond
-	// mostUnder bounds the processes of one world.
-	mostProcs = 1000
+	scanInterval = 50 * time.Millisecond
+	starveEvery  = 100 * time.Millisecond
+	// maxProcesses bounds the processes of one world.
+	maxProcesses = 1000
 )
 
-// newHosts writes what each host's supervisor is told, and opens the ways that
-// the plan disturbs. Nothing is started.
+// newHosts writes each host's fleet file and opens the links that the plan disturbs.
+// It starts nothing.
 func newHosts(w *World, p *experiment.Plan, hist *history.Writer) (*hosts, error) {
-	h := &hosts{w: w, plan: p, hist: hist, dir: w.path("faults"), end: make(chan struct{}), sessions: map[int]*host{}, procs: map[int]*found{},
-		active: map[string]map[int]int{}, stopped: map[string]int{}, ways: map[wayKey]*relay.Relay{}, played: map[string]int{}, under: map[string]time.Duration{}, begun: map[string]time.Duration{}}
+	h := &hosts{w: w, plan: p, hist: hist, dir: w.path("faults"), end: make(chan struct{}), sessions: map[int]*host{}, processes: map[int]*foundProcess{},
+		active: map[string]map[int]int{}, stopped: map[string]int{}, links: map[linkKey]*relay.Relay{}, played: map[string]int{}, inProgressSince: map[string]time.Duration{}, begun: map[string]time.Duration{}}
 	if err := os.MkdirAll(h.dir, 0o700); err != nil {
 		return nil, err
 	}
-	if err := h.openWays(); err != nil {
+	if err := h.openLinks(); err != nil {
 		return nil, err
 	}
 	if err := h.newCouncil(); err != nil {
@@ -123,7 +123,7 @@
 				continue
 			}
 			in.hosted = true
-			one.mine = append(one.mine, in)
+			one.instances = append(one.instances, in)
 			fmt.Fprintf(&b, "[[instance]]\nname = %q\nlisten = %q\nconfig = %q\n", in.Name, in.Addr, in.Name+".tmpl")
 			text := seedForm.ReplaceAllString(w.configText(in, 1, h.discoveryOf(in), in.known), `"seed":"{seed}"`)
 			if err := write(filepath.Join(dir, in.Name+".tmpl"), text); err != nil {
@@ -147,15 +147,15 @@
 
 var seedForm = regexp.MustCompile(`"seed":"[0-9a-f]*"`)
 
-// openWays puts a relay on each way that a fault of the plan disturbs.
-func (h *hosts) openWays() error {
+// openLinks puts a relay on each link that a fault of the plan disturbs.
+func (h *hosts) openLinks() error {
 	for _, st := range h.plan.Steps {
 		f := &h.plan.Storm.Faults[st.Fault]
 		if st.Do != experiment.Begin || f.Peer == "" {
 			continue
 		}
-		key := wayKey{st.Proc, f.Peer}
-		if h.ways[key] != nil {
+		key := linkKey{st.Proc, f.Peer}
+		if h.links[key] != nil {
 			continue
 		}
 		in := h.instance(st.Proc)
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		h.ways[key] = r
+		h.links[key] = r
 		if f.Peer == "clients" {
 			in.asked = r.Addr()
 		}
@@ -176,7 +176,7 @@
 }
 
 func (h *hosts) discoveryOf(in *Instance) string {
-	if r := h.ways[wayKey{in.Name, "discovery"}]; r != nil {
+	if r := h.links[linkKey{in.Name, "discovery"}]; r != nil {
 		return r.Addr()
 	}
 	return in.door.Addr()
@@ -192,7 +192,7 @@
 func (h *hosts) host(name string) *host {
 	n, _ := strconv.Atoi(name[1:])
 	if name[0] == 'm' {
-		return h.owned.members[n-1]
+		return h.coordination.members[n-1]
 	}
 	if name[0] == 'n' {
 		n = h.plan.Storm.HostOf(n - 1)
@@ -208,30 +208,30 @@
 			return err
 		}
 	}
-	h.wg.Go(h.look)
+	h.wg.Go(h.scan)
 	h.startProbes()
-	if h.owned != nil && h.owned.list != nil {
+	if h.coordination != nil && h.coordination.list != nil {
 		h.wg.Go(h.watchLists)
 	}
 	for _, in := range h.w.Instances {
 		if err := in.awaitUp(ctx); err != nil {
-			return fmt.Errorf("%w: %s", err, h.all[0].sup.tail.String())
+			return fmt.Errorf("%w: %s", err, h.all[0].supervisor.tail.String())
 		}
 	}
-	h.lookOnce()
+	h.scanOnce()
 	h.progress()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.atOnce = len(h.under) // what is counted begins with the load
+	h.maxInProgress = len(h.inProgressSince) // what is counted begins with the load
 	return nil
 }
 
 // roles are the members of the council and the supervisors.
 func (h *hosts) roles() []*host {
-	if h.owned == nil {
+	if h.coordination == nil {
 		return h.all
 	}
-	return append(slices.Clone(h.owned.members), h.all...)
+	return append(slices.Clone(h.coordination.members), h.all...)
 }
 
 // startSupervisor starts a host's supervisor as operators do, in a session of its
@@ -243,7 +243,7 @@
 	cmd := exec.Command(argv[0], argv[1:]...)
 	p := &Process{cmd: cmd, tail: &tail{}, done: make(chan struct{})}
 	cmd.Env = append(os.Environ(), faultinjection.DirectoryEnv+"="+h.dir, faultinjection.RoleEnv+"="+one.role, "GORACE=halt_on_error=1")
-	cmd.Stdout, cmd.Stderr = &ears{tail: p.tail, h: h, role: one.role}, &ears{tail: p.tail, h: h, role: one.role}
+	cmd.Stdout, cmd.Stderr = &supervisorLog{tail: p.tail, hosts: h, role: one.role}, &supervisorLog{tail: p.tail, hosts: h, role: one.role}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true, Pdeathsig: syscall.SIGKILL}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -252,7 +252,7 @@
 	}
 	h.w.reaper.Watch(cmd.Process.Pid)
 	h.sessions[cmd.Process.Pid] = one
-	one.sup, one.down = p, false
+	one.supervisor, one.down = p, false
 	h.started++
 	h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: one.role, Op: "started", Number: uint64(cmd.Process.Pid)})
 	h.wg.Go(func() {
@@ -282,41 +282,42 @@
 	h.hist.Add(e)
 }
 
-// ears hears what a supervisor says of its processes' ends.
-type ears struct {
-	tail *tail
-	h    *hosts
-	role string
-	rest []byte
+// supervisorLog reads the log of a supervisor, line by line. It belongs to the goroutine
+// that copies one of the process's outputs.
+type supervisorLog struct {
+	tail    *tail
+	hosts   *hosts
+	role    string
+	partial []byte
 }
 
-func (e *ears) Write(p []byte) (int, error) {
+func (e *supervisorLog) Write(p []byte) (int, error) {
 	e.tail.Write(p)
-	e.rest = append(e.rest, p...)
+	e.partial = append(e.partial, p...)
 	for {
-		i := bytes.IndexByte(e.rest, '\n')
+		i := bytes.IndexByte(e.partial, '\n')
 		if i < 0 {
 			break
 		}
-		line := string(e.rest[:i])
-		e.rest = e.rest[i+1:]
-		e.h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: e.role, Op: "said", Value: line})
+		line := string(e.partial[:i])
+		e.partial = e.partial[i+1:]
+		e.hosts.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: e.role, Op: "said", Value: line})
 		event := parseSupervisorLine(line)
-		e.h.heard(e.role, event)
+		e.hosts.observe(e.role, event)
 		if event.killed() {
-			e.h.w.Log.Excuse(event.instance, e.h.w.Log.Now()-3*time.Second)
+			e.hosts.w.Log.Excuse(event.instance, e.hosts.w.Log.Now()-3*time.Second)
 		}
-		if event.countedKill() {
-			e.h.mu.Lock()
-			e.h.kills++
-			e.h.mu.Unlock()
+		if event.countsAsKill() {
+			e.hosts.mu.Lock()
+			e.hosts.kills++
+			e.hosts.mu.Unlock()
 		}
 		if event.crashed() {
-			e.h.fail(fmt.Errorf("%s: %w", line, ErrCrashed))
+			e.hosts.fail(fmt.Errorf("%s: %w", line, ErrCrashed))
 		}
 	}
-	if len(e.rest) > 64<<10 {
-		e.rest = nil
+	if len(e.partial) > 64<<10 {
+		e.partial = nil
 	}
 	return len(p), nil
 }
@@ -327,10 +328,9 @@
 	h.errs = append(h.errs, err)
 }
 
-// look finds processes that come, until the end. Their ends are awaited one by
-// one.
-func (h *hosts) look() {
-	tick := time.NewTicker(lookEvery)
+// scan finds new processes until the end. A goroutine for each waits for its exit.
+func (h *hosts) scan() {
+	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -338,20 +338,20 @@
 			return
 		case <-tick.C:
 		}
-		h.lookOnce()
+		h.scanOnce()
 		h.progress()
-		h.rolled()
+		h.observeCompleted()
 	}
 }
 
-func (h *hosts) lookOnce() {
+func (h *hosts) scanOnce() {
 	for _, pid := range inSessions(func(session int) bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return h.sessions[session] != nil
 	}) {
 		h.mu.Lock()
-		known := h.procs[pid] != nil
+		known := h.processes[pid] != nil
 		h.mu.Unlock()
 		if known {
 			continue
@@ -363,7 +363,7 @@
 		}
 		h.mu.Lock()
 		one := h.sessions[session]
-		if one == nil || h.procs[pid] != nil { // somebody else was looking at the same time
+		if one == nil || h.processes[pid] != nil { // another scan found it at the same time
 			h.mu.Unlock()
 			continue
 		}
@@ -377,45 +377,45 @@
 			}
 		}
 		fd, err := unix.PidfdOpen(pid, 0)
-		if name == "" || err != nil || len(h.procs) >= mostProcs {
+		if name == "" || err != nil || len(h.processes) >= maxProcesses {
 			if err == nil {
 				unix.Close(fd)
 			}
 			h.mu.Unlock()
 			continue // not yet the program that it is to be, or gone again
 		}
-		f := &found{pid: pid, name: name, host: one, fd: fd}
-		h.procs[pid] = f
+		f := &foundProcess{pid: pid, name: name, host: one, pidfd: fd}
+		h.processes[pid] = f
 		if name[0] == 'n' {
 			h.started++
-			h.ordered(name, pid, env)
+			h.observeProcess(name, pid, env)
 			h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: name, Op: "started", Number: uint64(pid)})
-			h.beginUnder(name)
+			h.recordInProgress(name)
 		}
 		h.mu.Unlock()
-		h.wg.Go(func() { h.awaitEnd(f) })
+		h.wg.Go(func() { h.waitForExit(f) })
 	}
 }
 
-// awaitEnd waits for the end of a process. An instance without any has its next
-// one with nothing handed on.
-func (h *hosts) awaitEnd(f *found) {
+// waitForExit waits for the end of a process. An instance without a process is
+// restarted without a handover.
+func (h *hosts) waitForExit(f *foundProcess) {
 	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(f.fd), Events: unix.POLLIN}}, 100)
+		n, err := unix.Poll([]unix.PollFd{{Fd: int32(f.pidfd), Events: unix.POLLIN}}, 100)
 		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
 			break
 		}
 		select {
 		case <-h.end:
-			unix.Close(f.fd)
+			unix.Close(f.pidfd)
 			return
 		default:
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	unix.Close(f.fd)
-	delete(h.procs, f.pid)
+	unix.Close(f.pidfd)
+	delete(h.processes, f.pid)
 	if f.name[0] != 'n' {
 		return
 	}
@@ -424,33 +424,33 @@
 	if died {
 		h.w.Log.Excuse(f.name, h.w.Log.Now()-time.Second)
 	}
-	if len(h.of(f.name)) == 0 {
-		h.beginUnder(f.name)
+	if len(h.processesOf(f.name)) == 0 {
+		h.recordInProgress(f.name)
 		h.w.Log.Killed(f.name, h.w.Log.Now())
 		h.w.Log.Restarted(f.name, h.w.Log.Now())
 	}
 }
 
-// beginUnder notes that an instance is under way: without a process, or with one
-// that is not known to be ready. The caller holds the mutex.
-func (h *hosts) beginUnder(name string) {
-	if _, is := h.under[name]; !is {
-		h.under[name] = h.w.Log.Now()
-		h.atOnce = max(h.atOnce, len(h.under))
+// recordInProgress records that an instance is in progress: without a process, or with
+// one that is not known to be ready. The caller holds the mutex.
+func (h *hosts) recordInProgress(name string) {
+	if _, is := h.inProgressSince[name]; !is {
+		h.inProgressSince[name] = h.w.Log.Now()
+		h.maxInProgress = max(h.maxInProgress, len(h.inProgressSince))
 	}
 }
 
-// progress looks which instances that were under way are up again.
+// progress finds the instances in progress that are up again.
 func (h *hosts) progress() {
 	h.mu.Lock()
-	names := slices.Sorted(maps.Keys(h.under))
+	names := slices.Sorted(maps.Keys(h.inProgressSince))
 	h.mu.Unlock()
 	for _, name := range names {
 		pid := h.instance(name).upPid()
 		h.mu.Lock()
-		if f := h.procs[pid]; f != nil && f.name == name && len(h.of(name)) == 1 {
-			at := h.under[name]
-			delete(h.under, name)
+		if f := h.processes[pid]; f != nil && f.name == name && len(h.processesOf(name)) == 1 {
+			at := h.inProgressSince[name]
+			delete(h.inProgressSince, name)
 			one := f.host
 			h.note(history.Entry{Event: audit.Event{Do: history.Effect, At: at}, End: h.w.Log.Now(), Who: one.role, To: name, Duty: "roll", Op: "restart", Result: history.Done})
 		}
@@ -474,16 +474,16 @@
 
 var quickClient = http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 200 * time.Millisecond}
 
-// of are the processes of a name: one, of a whole host, or none. The caller holds
+// processesOf are the processes of a name: one, of a whole host, or none. The caller holds
 // the mutex.
-func (h *hosts) of(name string) []*found {
-	var all []*found
-	for _, f := range h.procs {
+func (h *hosts) processesOf(name string) []*foundProcess {
+	var all []*foundProcess
+	for _, f := range h.processes {
 		if f.name == name || name[0] == 'h' && f.host.name == name {
 			all = append(all, f)
 		}
 	}
-	slices.SortFunc(all, func(a, b *found) int { return a.pid - b.pid })
+	slices.SortFunc(all, func(a, b *foundProcess) int { return a.pid - b.pid })
 	return all
 }
 
@@ -555,14 +555,14 @@
 	h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: "rig", Op: teardown})
 	h.mu.Lock()
 	for _, one := range h.roles() {
-		if one.sup != nil {
-			one.sup.over.Store(true)
+		if one.supervisor != nil {
+			one.supervisor.over.Store(true)
 		}
 	}
 	sessions := maps.Clone(h.sessions)
 	h.mu.Unlock()
 	left = endSessions(func(s int) bool { return sessions[s] != nil })
-	for _, r := range h.ways {
+	for _, r := range h.links {
 		r.Close()
 	}
 	h.wg.Wait()
@@ -587,11 +587,11 @@
 	return len(inSessions(is))
 }
 
-// marks are what a process writes when something went wrong in it.
+// marks are what a process with a fault in the program writes.
 var marks = []string{"panic: ", "DATA RACE", "fatal error: "}
 
-// wrongs are the logs that tell of a panic or a race, with what stands there.
-func (h *hosts) wrongs() []error {
+// processErrors are the panics and data races in the processes' logs.
+func (h *hosts) processErrors() []error {
 	var errs []error
 	logs, _ := filepath.Glob(filepath.Join(h.w.opt.Dir, "h*", "run", "*.log"))
 	for _, path := range logs {
@@ -609,9 +609,9 @@
 	return errs
 }
 
-// known asks each supervisor how many of its instances are up, as an operator
-// does. One that does not answer knows of none.
-func (h *hosts) known() (up int) {
+// countInstancesUp is how many instances are up by the status of all supervisors. One
+// that does not respond counts as none.
+func (h *hosts) countInstancesUp() (up int) {
 	for _, one := range h.all {
 		ctx, cancel := context.WithTimeout(context.Background(), orderWithin)
 		argv := append(slices.Clone(h.w.opt.Supervisor), "fleet", "status", one.file)
@@ -629,9 +629,9 @@
 
 // result is what was seen.
 func (h *hosts) result() *experiment.Between {
-	of := h.ownedResult()
-	up := h.known()
+	of := h.coordinationResult()
+	up := h.countInstancesUp()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return &experiment.Between{Processes: h.started, Kinds: maps.Clone(h.played), Orders: h.orders, AtOnce: h.atOnce, Kills: h.kills, Up: up, Council: of}
+	return &experiment.Between{Processes: h.started, Kinds: maps.Clone(h.played), Orders: h.orders, AtOnce: h.maxInProgress, Kills: h.kills, Up: up, Council: of}
 }
--- a/internal/lab/rig/list.go
+++ b/internal/lab/rig/list.go
@@ -12,15 +12,15 @@
 	"otterspring/internal/lab/history"
 )
 
-// The duty list in an experiment: one supervisor of a zone watches discovery, and the
-// others relay what it sends them to their sidecars.
+// The endpoint list in an experiment: the lease holder of a zone watches discovery, and
+// the other supervisors relay what it sends them to their sidecars.
 
-// listRun is what is known of the duty list in a run. The mutex of hosts guards it,
+// endpointListRun is what is observed of the endpoint list in a run. The mutex of hosts guards it,
 // but for the channel.
-type listRun struct {
-	owner     string            // role of its latest owner, in any zone
-	epochs    map[string]uint64 // newest that each supervisor owns or knows of
-	res       experiment.Listed
+type endpointListRun struct {
+	holder    string            // role of its latest holder, in any zone
+	tokens    map[string]uint64 // newest that each supervisor has or has seen
+	results   experiment.Listed
 	baseline  int        // direct calls before the first fault; noBaseline before that
 	delivered chan int64 // versions that a zone has received, for watchLists
 	settledAt time.Duration
@@ -50,8 +50,8 @@
 // newList opens an endpoint of discovery for each supervisor, and takes addresses for
 // their own.
 func (h *hosts) newList(take func(string) error) error {
-	l := &listRun{epochs: map[string]uint64{}, delivered: make(chan int64, 64), baseline: noBaseline}
-	h.owned.list = l
+	l := &endpointListRun{tokens: map[string]uint64{}, delivered: make(chan int64, 64), baseline: noBaseline}
+	h.coordination.list = l
 	for n := range h.plan.Storm.World.Hosts {
 		role := fmt.Sprintf("f%d", n+1)
 		if err := take(proxyAddress(role)); err != nil {
@@ -73,7 +73,7 @@
 			}
 			return h.deliveredWith(zone)
 		})
-		h.owned.address[discoveryAddress(role)] = endpoint.Addr()
+		h.coordination.addresses[discoveryAddress(role)] = endpoint.Addr()
 	}
 	return nil
 }
@@ -85,25 +85,25 @@
 	return h.zone(n - 1)
 }
 
-func (h *hosts) listDuty(role string) string { return "list:" + h.zoneOf(h.host(role)) }
+func (h *hosts) listLease(role string) string { return "list:" + h.zoneOf(h.host(role)) }
 
-// dutyOf is the duty of an effect that was refused at a role.
-func (h *hosts) dutyOf(role, op string) string {
+// leaseOf is the lease, as histories name it, of a command that a role rejected.
+func (h *hosts) leaseOf(role, op string) string {
 	if op == "list" {
-		return h.listDuty(role)
+		return h.listLease(role)
 	}
 	return "roll-of-all"
 }
 
 // relays reports whether supervisors relay the list in this run.
-func (h *hosts) relays() bool { return h.owned != nil && h.owned.list != nil }
+func (h *hosts) relays() bool { return h.coordination != nil && h.coordination.list != nil }
 
 // listTable is the [list] table of a host's fleet file.
 func (h *hosts) listTable(one *host) string {
 	if !h.relays() {
 		return ""
 	}
-	return fmt.Sprintf("[list]\ndiscovery = %q\nlisten = %q\n", h.owned.address[discoveryAddress(one.role)], h.owned.address[proxyAddress(one.role)])
+	return fmt.Sprintf("[list]\ndiscovery = %q\nlisten = %q\n", h.coordination.addresses[discoveryAddress(one.role)], h.coordination.addresses[proxyAddress(one.role)])
 }
 
 // proxyTable is the [list] table of the operator's file of a host's sidecars.
@@ -111,22 +111,22 @@
 	if !h.relays() {
 		return ""
 	}
-	return fmt.Sprintf("[list]\nnear = %q\n", h.owned.address[proxyAddress(one.role)])
+	return fmt.Sprintf("[list]\nnear = %q\n", h.coordination.addresses[proxyAddress(one.role)])
 }
 
-// sawEpoch notes that a supervisor knows of an epoch.
-func (l *listRun) sawEpoch(role string, epoch uint64) {
+// observeToken records that a supervisor has seen a token.
+func (l *endpointListRun) observeToken(role string, token uint64) {
 	if l != nil {
-		l.epochs[role] = max(l.epochs[role], epoch)
+		l.tokens[role] = max(l.tokens[role], token)
 	}
 }
 
-// owns notes that a supervisor owns the duty under an epoch.
-func (l *listRun) owns(role string, epoch uint64) {
+// observeHolder records that a supervisor has the lease under a token.
+func (l *endpointListRun) observeHolder(role string, token uint64) {
 	if l != nil {
-		l.owner = role
-		l.res.Handovers++
-		l.sawEpoch(role, epoch)
+		l.holder = role
+		l.results.Handovers++
+		l.observeToken(role, token)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	l := h.owned.list
+	l := h.coordination.list
 	if l.baseline == noBaseline {
 		l.baseline = h.directCalls()
 	}
@@ -165,7 +165,7 @@
 func (h *hosts) deliveredWith(zone string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.w.Log.Now() < h.owned.list.settledAt {
+	if h.w.Log.Now() < h.coordination.list.settledAt {
 		return nil
 	}
 	var all []string
@@ -173,7 +173,7 @@
 		if h.zoneOf(one) != zone {
 			continue
 		}
-		for _, in := range one.mine {
+		for _, in := range one.instances {
 			all = append(all, in.Name)
 		}
 	}
@@ -192,7 +192,7 @@
 			return
 		case <-tick.C:
 			h.cachedVersions()
-		case version := <-h.owned.list.delivered:
+		case version := <-h.coordination.list.delivered:
 			h.followDelivery(version)
 		}
 	}
@@ -226,7 +226,7 @@
 func (h *hosts) addDelay(delay time.Duration, last bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res := &h.owned.list.res
+	res := &h.coordination.list.results
 	if len(res.Delays) >= maxDelays {
 		return
 	}
@@ -260,11 +260,11 @@
 
 // listResult returns the figures of the list. The caller holds the mutex.
 func (h *hosts) listResult() *experiment.Listed {
-	l := h.owned.list
+	l := h.coordination.list
 	if l == nil {
 		return nil
 	}
-	res := l.res
+	res := l.results
 	if l.baseline != noBaseline {
 		res.DirectCalls = h.directCalls() - l.baseline
 	}
--- a/internal/lab/rig/probe.go
+++ b/internal/lab/rig/probe.go
@@ -44,7 +44,7 @@
 
 // startProbes starts the clients; they end with the hosts.
 func (h *hosts) startProbes() {
-	if h.owned == nil || h.hist == nil {
+	if h.coordination == nil || h.hist == nil {
 		return
 	}
 	for i := range probeWriters + probeReaders {
@@ -77,10 +77,10 @@
 // ask asks one member once; nil and no error where it could not answer, so that
 // nothing has taken effect.
 func (p *prober) ask(q client.Request) (*client.Response, error) {
-	members := p.h.owned.members
+	members := p.h.coordination.members
 	ctx, cancel := context.WithTimeout(context.Background(), probeWithin)
 	defer cancel()
-	a, err := client.Call(ctx, &askClient, p.h.owned.address[members[p.to].role], "world", q)
+	a, err := client.Call(ctx, &askClient, p.h.coordination.addresses[members[p.to].role], "world", q)
 	if err != nil {
 		p.to = (p.to + 1) % len(members)
 		return nil, err
@@ -90,7 +90,7 @@
 	}
 	p.to = (p.to + 1) % len(members)
 	for i, m := range members {
-		if a.Leader == p.h.owned.address[m.role] {
+		if a.Leader == p.h.coordination.addresses[m.role] {
 			p.to = i
 		}
 	}
--- a/internal/lab/rig/storm.go
+++ b/internal/lab/rig/storm.go
@@ -70,7 +70,7 @@
 	return n.Delay >= time.Millisecond || n.Jitter >= time.Millisecond || n.Loss > 0
 }
 
-// ways puts a relay between each instance and server that the plan cuts off
+// links puts a relay between each instance and server that the plan cuts off
 // from each other, or between all where the network is slow or loses, and has
 // discovery tell its address.
 func (w *World) ways(p *experiment.Plan) error {
@@ -399,7 +399,7 @@
 	if between != nil {
 		rec.Between = between.result()
 		rec.Between.Left = between.stop()
-		for _, err := range append(between.errs, between.wrongs()...) {
+		for _, err := range append(between.errs, between.processErrors()...) {
 			run.crash(rec, err)
 		}
 		between = nil
--- a/internal/lab/rig/supervisor_log.go
+++ b/internal/lab/rig/supervisor_log.go
@@ -41,14 +41,14 @@
 	incomplete    bool   // the line stands for others that were left out, too
 }
 
-// killed reports whether a process of an instance was killed, by anybody.
+// killed reports whether a process of an instance was killed, by the supervisor or not.
 func (e *supervisorEvent) killed() bool {
 	return e.kind == killDecided && !e.incomplete || e.kind == processEnded && strings.HasPrefix(e.status, "signal: killed")
 }
 
-// countedKill reports whether the figure fleet_kills counts the event. It takes a
+// countsAsKill reports whether the figure fleet_kills counts the event. It takes a
 // process that ended by SIGKILL and had written nothing for one, too.
-func (e *supervisorEvent) countedKill() bool {
+func (e *supervisorEvent) countsAsKill() bool {
 	return !e.incomplete && (e.kind == killDecided || e.kind == processEnded && e.status == "signal: killed" && e.lastOutput == "")
 }
 
@@ -136,7 +136,7 @@
 // parseToken reads a fencing token as it is logged, "space.number"; 0 for none.
 func parseToken(text string) uint64 {
 	space, number, _ := strings.Cut(text, ".")
-	return epochOf(space, number)
+	return tokenOf(space, number)
 }
 
 // The lines of versions up to 13b1ee2, whose messages hold all values.
--- a/internal/lab/rig/supervisor_log_test.go
+++ b/internal/lab/rig/supervisor_log_test.go
@@ -108,7 +108,7 @@
 		`msg="supervisor was suspended; deadlines extended" duration=2.31s error="n4: process 7: killed"`: {false, false, false},
 	} {
 		event := parseSupervisorLine(lineStart + line)
-		if got := [3]bool{event.killed(), event.countedKill(), event.crashed()}; got != want {
+		if got := [3]bool{event.killed(), event.countsAsKill(), event.crashed()}; got != want {
 			t.Errorf("%q: killed, counted, crashed %v, wanted %v (%+v)", line, got, want, event)
 		}
 	}
