--- /dev/null
+++ b/internal/coap/block/wire_test.go
@@ -0,0 +1,80 @@
+package block
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"otterspring/internal/coap/message"
+)
+
+// TestTransferOnTheWire plays an upload and a download and compares every datagram
+// with testdata/transfer.txt.
+func TestTransferOnTheWire(t *testing.T) {
+	var list strings.Builder
+	datagram := func(role string, m message.Message) {
+		t.Helper()
+		text, err := m.Append(nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&list, "%s %x\n", role, text)
+	}
+	lim := limits()
+	lim.Size = 32
+	r, err := NewReceiver(lim)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body := bytes.Repeat([]byte("0123456789"), 15)
+	u := NewUpload(body, 64)
+	for done := false; !done; {
+		payload, b := u.Block()
+		request := part(b.Num, b.More, b.Size, payload)
+		fmt.Fprintf(&list, "key %x\n", Key("peer", request))
+		datagram("request", *request)
+		p := r.Take(0, "k", request)
+		done = p.Whole
+		response := message.Message{Code: p.Code}
+		if done {
+			response.Code = message.Changed
+		}
+		response.AddBlock(message.Block1, p.Block)
+		datagram("response", response)
+		if more, err := u.Continue(&response); err != nil || more == done {
+			t.Fatalf("after block %+v: more %v, %v", b, more, err)
+		}
+	}
+	s, err := NewSender(lim)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := NewDownload(1000)
+	response := s.First(0, "k", &message.Message{Code: message.GET}, message.Message{Code: message.Content, Payload: body})
+	for {
+		datagram("response", response)
+		next, more, err := d.Take(&response)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !more {
+			break
+		}
+		request := message.Message{Code: message.GET}
+		request.AddBlock(message.Block2, next)
+		datagram("request", request)
+		var found bool
+		if response, found = s.Next(0, "k", &request); !found {
+			t.Fatalf("block %+v was not kept", next)
+		}
+	}
+	want, err := os.ReadFile("testdata/transfer.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if list.String() != string(want) {
+		t.Errorf("found\n%swant\n%s", &list, want)
+	}
+}
--- a/internal/coap/exchange/exchange_test.go
+++ b/internal/coap/exchange/exchange_test.go
@@ -41,6 +41,8 @@
 	ran     map[string]int // effects by request
 	ends    map[uint64][]Action
 	once    bool
+	// datagram is called with each datagram that is sent, after drop; nil for none.
+	datagram func(text []byte)
 }
 
 // flightAnswer is an answer that the server gives later.
@@ -71,7 +73,11 @@
 		switch a.Kind {
 		case Send:
 			w.nth++
-			if w.drop(w.nth) {
+			lost := w.drop(w.nth)
+			if w.datagram != nil {
+				w.datagram(a.Datagram)
+			}
+			if lost {
 				continue
 			}
 			copies := 1
