--- a/internal/coap/block/block.go
+++ b/internal/coap/block/block.go
@@ -21,7 +21,7 @@
 }
 
 func (l *Limits) validate() error {
-	if l.Transfers < 1 || l.Body < 1 || l.Bytes < l.Body || l.Idle <= 0 || l.Size < 16 || l.Size > message.MostBlock {
+	if l.Transfers < 1 || l.Body < 1 || l.Bytes < l.Body || l.Idle <= 0 || l.Size < 16 || l.Size > message.MaxBlockSize {
 		return fmt.Errorf("block: limits %+v: wanted Transfers, Body, Idle above 0, Bytes of Body or more, Size 16 to 1024", *l)
 	}
 	return nil
--- a/internal/coap/caller/caller.go
+++ b/internal/coap/caller/caller.go
@@ -30,7 +30,7 @@
 	Silent            // nothing came in the time of the protocol
 )
 
-// Request is what is asked of a server.
+// IsRequest is what is asked of a server.
 type Request struct {
 	Unsafe        bool   // to run it twice may do harm
 	Safe          bool   // a GET
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if set.Body < 1 || set.Block < 16 || set.Block > message.MostBlock || set.EchoFor <= 0 {
+	if set.Body < 1 || set.Block < 16 || set.Block > message.MaxBlockSize || set.EchoFor <= 0 {
 		return nil, errors.New("caller: wanted Body and EchoFor above 0, Block of 16 to 1024")
 	}
 	return &Caller{set: set, peer: peer, ex: ex, byName: map[uint64]*attempt{}, byOut: map[uint64]*attempt{}}, nil
--- a/internal/coap/exchange/client.go
+++ b/internal/coap/exchange/client.go
@@ -335,7 +335,7 @@
 			s.out--
 			c.next(now, s)
 		}
-	case m.Code.Response():
+	case m.Code.IsResponse():
 		c.response(now, peer, m, x)
 	case m.Type == message.Confirmable:
 		// A ping, or a request: this side answers none.
--- a/internal/coap/exchange/exchange_test.go
+++ b/internal/coap/exchange/exchange_test.go
@@ -410,13 +410,13 @@
 	if !reset(w.client.Receive(0, serverAddr, &answer, nil)) || !reset(w.server.Receive(0, clientAddr, &answer, nil)) {
 		t.Error("an answer that nobody asked for gets no Reset")
 	}
-	if acts := w.server.Malformed(clientAddr, &message.Message{Type: message.Confirmable, ID: 3}, message.ErrShort, nil); !reset(acts) {
+	if acts := w.server.Malformed(clientAddr, &message.Message{Type: message.Confirmable, ID: 3}, message.ErrTruncated, nil); !reset(acts) {
 		t.Errorf("a malformed confirmable message: %+v", acts)
 	}
 	for _, bad := range []struct {
 		t   message.Type
 		err error
-	}{{message.NonConfirmable, message.ErrShort}, {message.Confirmable, message.ErrNotCoAP}, {message.Reset, message.ErrEmpty}} {
+	}{{message.NonConfirmable, message.ErrTruncated}, {message.Confirmable, message.ErrNotCoAP}, {message.Reset, message.ErrNonEmpty}} {
 		if acts := w.server.Malformed(clientAddr, &message.Message{Type: bad.t}, bad.err, nil); len(acts) != 0 {
 			t.Errorf("%v %v was answered: %+v", bad.t, bad.err, acts)
 		}
--- a/internal/coap/exchange/server.go
+++ b/internal/coap/exchange/server.go
@@ -135,7 +135,7 @@
 		s.send(peer, plain(message.Reset, m.ID)) // a ping (section 4.3)
 	case m.Type == message.Acknowledgement || m.Type == message.Reset:
 		s.acknowledged(now, peer, m)
-	case m.Code.Request():
+	case m.Code.IsRequest():
 		s.request(now, peer, m)
 	case m.Type == message.Confirmable:
 		s.send(peer, plain(message.Reset, m.ID)) // an answer that nobody asked for
--- a/internal/coap/gate/gate.go
+++ b/internal/coap/gate/gate.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Request is what a client asks, ready for the decision module.
+// IsRequest is what a client asks, ready for the decision module.
 type Request struct {
 	Handle        uint64
 	Class         string
@@ -597,7 +597,7 @@
 		return m
 	}
 	if _, there := x.req.Get(message.Block2); !there && x.class.Effect == Repeat {
-		for size := message.MostBlock; size >= 16; size /= 2 {
+		for size := message.MaxBlockSize; size >= 16; size /= 2 {
 			small := x.req
 			small.Options = slices.Clone(x.req.Options)
 			small.AddBlock(message.Block2, message.Block{Size: size})
--- a/internal/coap/gate/read.go
+++ b/internal/coap/gate/read.go
@@ -29,7 +29,7 @@
 func (g *Gate) read(x *open) (Request, *fault) {
 	m := &x.req
 	r := Request{ContentFormat: -1}
-	if n, unknown := m.Unknown(isTaken); unknown {
+	if n, unknown := m.FilterOptions(isTaken); unknown {
 		return r, &fault{message.BadOption, "option " + itoa(int(n)) + ": critical, and not known or not well formed"}
 	}
 	_, uri := m.Get(message.ProxyURI)
--- a/internal/coap/message/code.go
+++ b/internal/coap/message/code.go
@@ -55,11 +55,11 @@
 // Detail is what is behind the dot.
 func (c Code) Detail() int { return int(c & 31) }
 
-// Request tells whether it is a method.
-func (c Code) Request() bool { return c.Class() == 0 && c != Empty }
+// IsRequest tells whether it is a method.
+func (c Code) IsRequest() bool { return c.Class() == 0 && c != Empty }
 
-// Response tells whether it is a response code.
-func (c Code) Response() bool { return c.Class() >= 2 && c.Class() <= 5 }
+// IsResponse tells whether it is a response code.
+func (c Code) IsResponse() bool { return c.Class() >= 2 && c.Class() <= 5 }
 
 // String writes c.dd.
 func (c Code) String() string { return fmt.Sprintf("%d.%02d", c.Class(), c.Detail()) }
--- a/internal/coap/message/message.go
+++ b/internal/coap/message/message.go
@@ -26,12 +26,12 @@
 
 // Bounds of a message.
 const (
-	MostToken   = 8 // bytes (RFC 7252, section 3)
-	MostOptions = 64
-	// MostDatagram is the largest datagram that is read: a block of 1,024 bytes
+	MaxTokenSize   = 8 // bytes (RFC 7252, section 3)
+	MaxOptions = 64
+	// MaxDatagramSize is the largest datagram that is read: a block of 1,024 bytes
 	// with its options, with room to spare. RFC 7252, section 4.6, bounds a
 	// message at 1,152 bytes where nothing else is known.
-	MostDatagram = 2048
+	MaxDatagramSize = 2048
 	headerBytes  = 4
 	version      = 1
 	marker       = 0xff
@@ -61,15 +61,15 @@
 // returns type and ID with those.
 var (
 	ErrNotCoAP  = errors.New("coap: not a message of version 1")
-	ErrToken    = errors.New("coap: token of 9 to 15 bytes")
-	ErrShort    = errors.New("coap: ends within a token or an option")
-	ErrReserved = errors.New("coap: reserved option delta or length")
-	ErrNumber   = errors.New("coap: option number over 65535")
-	ErrOptions  = errors.New("coap: too many options")
-	ErrPayload  = errors.New("coap: payload marker without a payload")
-	ErrEmpty    = errors.New("coap: empty message with more than a header")
-	ErrClass    = errors.New("coap: code of a reserved class")
-	ErrLong     = errors.New("coap: datagram too long")
+	ErrTokenLength    = errors.New("coap: token of 9 to 15 bytes")
+	ErrTruncated    = errors.New("coap: ends within a token or an option")
+	ErrReservedLength = errors.New("coap: reserved option delta or length")
+	ErrOptionNumber   = errors.New("coap: option number over 65535")
+	ErrTooManyOptions  = errors.New("coap: too many options")
+	ErrMissingPayload  = errors.New("coap: payload marker without a payload")
+	ErrNonEmpty    = errors.New("coap: empty message with more than a header")
+	ErrReservedClass    = errors.New("coap: code of a reserved class")
+	ErrTooLarge     = errors.New("coap: datagram too long")
 )
 
 // Decode reads a datagram into m, reusing m's options. The message shares the
@@ -82,25 +82,25 @@
 		Type: Type(datagram[0] >> 4 & 3), Code: Code(datagram[1]), ID: binary.BigEndian.Uint16(datagram[2:]),
 		Options: m.Options[:0],
 	}
-	if len(datagram) > MostDatagram {
-		return ErrLong
+	if len(datagram) > MaxDatagramSize {
+		return ErrTooLarge
 	}
 	tokenLen := int(datagram[0] & 15)
 	rest := datagram[headerBytes:]
 	if m.Code == Empty {
 		if tokenLen > 0 || len(rest) > 0 {
-			return ErrEmpty // section 4.1
+			return ErrNonEmpty // section 4.1
 		}
 		return nil
 	}
 	if c := m.Code.Class(); c == 1 || c == 6 || c == 7 {
-		return ErrClass // section 4.2: reserved classes are format errors
+		return ErrReservedClass // section 4.2: reserved classes are format errors
 	}
-	if tokenLen > MostToken {
-		return ErrToken
+	if tokenLen > MaxTokenSize {
+		return ErrTokenLength
 	}
 	if len(rest) < tokenLen {
-		return ErrShort
+		return ErrTruncated
 	}
 	m.Token, rest = rest[:tokenLen:tokenLen], rest[tokenLen:]
 	return m.decodeOptions(rest)
@@ -112,13 +112,13 @@
 	for len(rest) > 0 {
 		if rest[0] == marker {
 			if len(rest) == 1 {
-				return ErrPayload
+				return ErrMissingPayload
 			}
 			m.Payload = rest[1:]
 			return nil
 		}
-		if len(m.Options) == MostOptions {
-			return ErrOptions
+		if len(m.Options) == MaxOptions {
+			return ErrTooManyOptions
 		}
 		delta, length := int(rest[0]>>4), int(rest[0]&15)
 		rest = rest[1:]
@@ -130,10 +130,10 @@
 			return err
 		}
 		if number += delta; number > 0xffff {
-			return ErrNumber
+			return ErrOptionNumber
 		}
 		if len(rest) < length {
-			return ErrShort
+			return ErrTruncated
 		}
 		m.Options = append(m.Options, Option{Number(number), rest[:length:length]})
 		rest = rest[length:]
@@ -151,27 +151,27 @@
 	case n == 14 && len(rest) >= 2:
 		return int(binary.BigEndian.Uint16(rest)) + 269, rest[2:], nil
 	case n == 15:
-		return 0, nil, ErrReserved
+		return 0, nil, ErrReservedLength
 	}
-	return 0, nil, ErrShort
+	return 0, nil, ErrTruncated
 }
 
 // Append writes the message behind buf. Options are put in order; it returns an
 // error for what no datagram can hold.
 func (m *Message) Append(buf []byte) ([]byte, error) {
-	if len(m.Token) > MostToken {
-		return nil, ErrToken
+	if len(m.Token) > MaxTokenSize {
+		return nil, ErrTokenLength
 	}
 	buf = append(buf, version<<6|byte(m.Type&3)<<4|byte(len(m.Token)), byte(m.Code), byte(m.ID>>8), byte(m.ID))
 	if m.Code == Empty {
 		if len(m.Token)+len(m.Options)+len(m.Payload) > 0 {
-			return nil, ErrEmpty
+			return nil, ErrNonEmpty
 		}
 		return buf, nil
 	}
 	buf = append(buf, m.Token...)
-	if len(m.Options) > MostOptions {
-		return nil, ErrOptions
+	if len(m.Options) > MaxOptions {
+		return nil, ErrTooManyOptions
 	}
 	inOrder := func(a, b Option) int { return int(a.Number) - int(b.Number) }
 	if !slices.IsSortedFunc(m.Options, inOrder) {
--- a/internal/coap/message/message_test.go
+++ b/internal/coap/message/message_test.go
@@ -62,21 +62,21 @@
 		{"three bytes", "400100", ErrNotCoAP},
 		{"version 0", "00010001", ErrNotCoAP},
 		{"version 2", "80010001", ErrNotCoAP},
-		{"a token of 9", "49010001010203040506070809", ErrToken},
-		{"a token cut short", "4401000101", ErrShort},
-		{"an empty one with a token", "4100000101", ErrEmpty},
-		{"an empty one with a payload", "40000001ff01", ErrEmpty},
-		{"a marker with no payload", "40010001ff", ErrPayload},
-		{"an option cut short", "40010001b4616263", ErrShort},
-		{"a reserved delta", "40010001f0", ErrReserved},
-		{"a reserved length", "400100010f", ErrReserved},
-		{"an extended delta cut short", "40010001d0", ErrShort},
-		{"a two-byte delta cut short", "40010001e001", ErrShort},
-		{"a length past the end", "40010001bd0a61", ErrShort},
-		{"a number over 65535", "40010001e0ffffe0ffff", ErrNumber},
-		{"too many options", "40010001" + strings.Repeat("10", 65), ErrOptions},
-		{"a reserved class", "40200001", ErrClass},
-		{"64 KiB of options", "40010001" + strings.Repeat("1c"+strings.Repeat("61", 12), 5000), ErrLong},
+		{"a token of 9", "49010001010203040506070809", ErrTokenLength},
+		{"a token cut short", "4401000101", ErrTruncated},
+		{"an empty one with a token", "4100000101", ErrNonEmpty},
+		{"an empty one with a payload", "40000001ff01", ErrNonEmpty},
+		{"a marker with no payload", "40010001ff", ErrMissingPayload},
+		{"an option cut short", "40010001b4616263", ErrTruncated},
+		{"a reserved delta", "40010001f0", ErrReservedLength},
+		{"a reserved length", "400100010f", ErrReservedLength},
+		{"an extended delta cut short", "40010001d0", ErrTruncated},
+		{"a two-byte delta cut short", "40010001e001", ErrTruncated},
+		{"a length past the end", "40010001bd0a61", ErrTruncated},
+		{"a number over 65535", "40010001e0ffffe0ffff", ErrOptionNumber},
+		{"too many options", "40010001" + strings.Repeat("10", 65), ErrTooManyOptions},
+		{"a reserved class", "40200001", ErrReservedClass},
+		{"64 KiB of options", "40010001" + strings.Repeat("1c"+strings.Repeat("61", 12), 5000), ErrTooLarge},
 	} {
 		text, err := hex.DecodeString(c.hex)
 		if err != nil {
@@ -169,7 +169,7 @@
 		{"an elective one twice", []Option{{MaxAge, nil}, {MaxAge, []byte{1}}}, 0, false, 1},
 	} {
 		m := Message{Options: c.options}
-		bad, found := m.Unknown(all)
+		bad, found := m.FilterOptions(all)
 		if bad != c.bad || found != c.found || len(m.Options) != c.left {
 			t.Errorf("%s: %d, %v, %d left", c.name, bad, found, len(m.Options))
 		}
@@ -209,6 +209,6 @@
 		if !reflect.DeepEqual(m.Path(), n.Path()) {
 			t.Fatal("paths differ")
 		}
-		m.Unknown(func(n Number) bool { return n%3 == 0 })
+		m.FilterOptions(func(n Number) bool { return n%3 == 0 })
 	})
 }
--- a/internal/coap/message/option.go
+++ b/internal/coap/message/option.go
@@ -58,15 +58,15 @@
 	Echo: {1, 40, false}, NoResponse: {0, 1, false}, RequestTag: {0, 8, true},
 }
 
-// Known says which options a side takes, beyond what they may look like.
-type Known func(Number) bool
+// Supported says which options a side takes, beyond what they may look like.
+type Supported func(Number) bool
 
-// Unknown goes through the options as RFC 7252, section 5.4, wants it. One that
+// FilterOptions goes through the options as RFC 7252, section 5.4, wants it. One that
 // the side does not take, whose length is outside its range (5.4.3), or that is
 // a repeat of one that may come once (5.4.5) is as good as not known: if it is
 // elective it is left out of the message; if it is critical its number is
 // returned, and the message is to be turned away.
-func (m *Message) Unknown(known Known) (Number, bool) {
+func (m *Message) FilterOptions(known Supported) (Number, bool) {
 	kept := m.Options[:0]
 	bad, found := Number(0), false
 	for i, o := range m.Options {
@@ -96,8 +96,8 @@
 
 const (
 	mostBlockNum = 1<<20 - 1
-	// MostBlock is the largest block.
-	MostBlock = 1024
+	// MaxBlockSize is the largest block.
+	MaxBlockSize = 1024
 )
 
 // Block returns a block option; false where there is none or its size is the
--- a/internal/coapfront/front.go
+++ b/internal/coapfront/front.go
@@ -203,7 +203,7 @@
 
 // read reads until the socket is closed, or another process reads it.
 func (f *Front) read() {
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, peer, err := f.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/coapupstream/pool.go
+++ b/internal/coapupstream/pool.go
@@ -165,7 +165,7 @@
 
 // read takes what comes until the socket is closed.
 func (h *lane) read(conn *net.UDPConn) {
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, err := conn.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/coapupstream/pool_test.go
+++ b/internal/coapupstream/pool_test.go
@@ -35,7 +35,7 @@
 				return
 			}
 			var m message.Message
-			if message.Decode(buf[:n], &m) != nil || !m.Code.Request() {
+			if message.Decode(buf[:n], &m) != nil || !m.Code.IsRequest() {
 				continue
 			}
 			heard.Add(1)
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -103,7 +103,7 @@
 
 func (c *coapSide) read() {
 	defer c.srv.wg.Done()
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, peer, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/lab/standin/coapclient/coapclient.go
+++ b/internal/lab/standin/coapclient/coapclient.go
@@ -59,7 +59,7 @@
 		cfg.Params.NStart = 64
 	}
 	if cfg.Block == 0 {
-		cfg.Block = message.MostBlock
+		cfg.Block = message.MaxBlockSize
 	}
 	local, err := netip.ParseAddrPort(cfg.Local)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 func (c *Client) read() {
 	defer c.wg.Done()
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	var m message.Message
 	for {
 		n, peer, err := c.conn.ReadFromUDPAddrPort(buf)
--- a/internal/sidecar/coap_test.go
+++ b/internal/sidecar/coap_test.go
@@ -214,7 +214,7 @@
 	if _, err := c.Write(text); err != nil {
 		t.Fatal(err)
 	}
-	buf := make([]byte, own.MostDatagram)
+	buf := make([]byte, own.MaxDatagramSize)
 	read := func(what string) own.Message {
 		t.Helper()
 		n, err := c.Read(buf)
