--- a/internal/coap/echo/echo.go
+++ b/internal/coap/echo/echo.go
@@ -18,10 +18,10 @@
 const (
 	timeBytes = 6 // milliseconds since the maker's origin
 	macBytes  = 10
-	// Bytes is the length of a value.
-	Bytes = timeBytes + macBytes
-	// KeyBytes is the least length of a key.
-	KeyBytes = 16
+	// ValueSize is the length of a value.
+	ValueSize = timeBytes + macBytes
+	// MinKeySize is the least length of a key.
+	MinKeySize = 16
 )
 
 // Verdict is what a value proves.
@@ -30,33 +30,33 @@
 // The verdicts.
 const (
 	Fresh Verdict = iota // of this life, young enough, and from that endpoint
-	Old                  // of this life and endpoint, and too old
-	Alien                // of another life, key or endpoint, or not a value at all
+	Expired                  // of this life and endpoint, and too old
+	Invalid                // of another life, key or endpoint, or not a value at all
 )
 
-// Maker makes values and checks them. The key is new with each life of the
+// Issuer makes values and checks them. The key is new with each life of the
 // process, or handed over with the tables that prove what has run: a value that
 // it verifies was given in the present life.
-type Maker struct {
+type Issuer struct {
 	key []byte
 	age time.Duration
 }
 
 // New returns a Maker whose values are fresh for age. The key must be random.
-func New(key []byte, age time.Duration) (*Maker, error) {
-	if len(key) < KeyBytes {
-		return nil, fmt.Errorf("echo: key of %d bytes, wanted %d or more", len(key), KeyBytes)
+func New(key []byte, age time.Duration) (*Issuer, error) {
+	if len(key) < MinKeySize {
+		return nil, fmt.Errorf("echo: key of %d bytes, wanted %d or more", len(key), MinKeySize)
 	}
 	if age <= 0 {
 		return nil, errors.New("echo: age: not positive")
 	}
-	return &Maker{key: append([]byte(nil), key...), age: age}, nil
+	return &Issuer{key: append([]byte(nil), key...), age: age}, nil
 }
 
 // Value returns a value for an endpoint at a time, which counts from the origin
 // that goes with the key.
-func (m *Maker) Value(now time.Duration, peer netip.AddrPort) []byte {
-	v := make([]byte, timeBytes, Bytes)
+func (m *Issuer) Value(now time.Duration, peer netip.AddrPort) []byte {
+	v := make([]byte, timeBytes, ValueSize)
 	ms := uint64(max(now, 0) / time.Millisecond)
 	for i := range v {
 		v[i] = byte(ms >> (8 * (timeBytes - 1 - i)))
@@ -65,7 +65,7 @@
 }
 
 // mac is the keyed hash over a value's time and its endpoint.
-func (m *Maker) mac(t []byte, peer netip.AddrPort) []byte {
+func (m *Issuer) mac(t []byte, peer netip.AddrPort) []byte {
 	h := hmac.New(sha256.New, m.key)
 	h.Write(t)
 	a := peer.Addr().As16()
@@ -76,9 +76,9 @@
 
 // Check tells what a value proves at a time. One from the future counts as old:
 // the clock that made it is not this one's.
-func (m *Maker) Check(now time.Duration, peer netip.AddrPort, value []byte) Verdict {
-	if len(value) != Bytes || !hmac.Equal(value[timeBytes:], m.mac(value[:timeBytes], peer)) {
-		return Alien
+func (m *Issuer) Check(now time.Duration, peer netip.AddrPort, value []byte) Verdict {
+	if len(value) != ValueSize || !hmac.Equal(value[timeBytes:], m.mac(value[:timeBytes], peer)) {
+		return Invalid
 	}
 	var ms uint64
 	for _, b := range value[:timeBytes] {
@@ -86,7 +86,7 @@
 	}
 	made := time.Duration(ms) * time.Millisecond
 	if made > now || now-made >= m.age {
-		return Old
+		return Expired
 	}
 	return Fresh
 }
--- a/internal/coap/echo/echo_test.go
+++ b/internal/coap/echo/echo_test.go
@@ -14,7 +14,7 @@
 	other = netip.MustParseAddrPort("127.0.0.1:1001")
 )
 
-func maker(t *testing.T, k []byte) *Maker {
+func maker(t *testing.T, k []byte) *Issuer {
 	t.Helper()
 	m, err := New(k, time.Minute)
 	if err != nil {
@@ -26,11 +26,11 @@
 func TestVerdicts(t *testing.T) {
 	m := maker(t, key)
 	v := m.Value(time.Hour, one)
-	if len(v) != Bytes || Bytes > 40 {
+	if len(v) != ValueSize || ValueSize > 40 {
 		t.Fatalf("a value of %d bytes", len(v))
 	}
 	for name, c := range map[string]struct {
-		m     *Maker
+		m     *Issuer
 		now   time.Duration
 		peer  netip.AddrPort
 		value []byte
@@ -38,14 +38,14 @@
 	}{
 		"at once":                 {m, time.Hour, one, v, Fresh},
 		"just in time":            {m, time.Hour + time.Minute - 1, one, v, Fresh},
-		"a minute later":          {m, time.Hour + time.Minute, one, v, Old},
-		"before it was made":      {m, time.Hour - time.Second, one, v, Old},
-		"from another port":       {m, time.Hour, other, v, Alien},
-		"of another life":         {maker(t, []byte("another life's key")), time.Hour, one, v, Alien},
-		"cut short":               {m, time.Hour, one, v[:Bytes-1], Alien},
-		"none":                    {m, time.Hour, one, nil, Alien},
-		"with its time changed":   {m, time.Hour, one, append([]byte{1}, v[1:]...), Alien},
-		"the value of a stranger": {m, time.Hour, one, m.Value(time.Hour, other), Alien},
+		"a minute later":          {m, time.Hour + time.Minute, one, v, Expired},
+		"before it was made":      {m, time.Hour - time.Second, one, v, Expired},
+		"from another port":       {m, time.Hour, other, v, Invalid},
+		"of another life":         {maker(t, []byte("another life's key")), time.Hour, one, v, Invalid},
+		"cut short":               {m, time.Hour, one, v[:ValueSize-1], Invalid},
+		"none":                    {m, time.Hour, one, nil, Invalid},
+		"with its time changed":   {m, time.Hour, one, append([]byte{1}, v[1:]...), Invalid},
+		"the value of a stranger": {m, time.Hour, one, m.Value(time.Hour, other), Invalid},
 	} {
 		if got := c.m.Check(c.now, c.peer, c.value); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -65,9 +65,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(24*time.Hour)).Draw(t, "now"))
 		v := m.Value(now, one)
-		i, bit := rapid.IntRange(0, Bytes-1).Draw(t, "byte"), rapid.IntRange(0, 7).Draw(t, "bit")
+		i, bit := rapid.IntRange(0, ValueSize-1).Draw(t, "byte"), rapid.IntRange(0, 7).Draw(t, "bit")
 		v[i] ^= 1 << bit
-		if m.Check(now, one, v) != Alien {
+		if m.Check(now, one, v) != Invalid {
 			t.Fatalf("bit %d of byte %d changed, and it passes", bit, i)
 		}
 	})
--- a/internal/coap/gate/gate.go
+++ b/internal/coap/gate/gate.go
@@ -194,7 +194,7 @@
 	ex       *exchange.Server
 	in       *block.Receiver
 	out      *block.Sender
-	echo     *echo.Maker
+	echo     *echo.Issuer
 	cleanAt  time.Duration // no request of an earlier life can come from then on
 	begun    bool
 	draining bool
