--- a/internal/coap/block/block.go
+++ b/internal/coap/block/block.go
@@ -13,15 +13,15 @@
 
 // Limits bound what is held for transfers under way.
 type Limits struct {
-	Transfers int           // at a time
-	Body      int           // bytes of one body
-	Bytes     int           // bytes of all
-	Idle      time.Duration // a transfer that pauses this long is given up
-	Size      int           // largest block that is sent or asked for: 16 to 1,024
+	MaxTransfers int           // at a time
+	MaxBodySize      int           // bytes of one body
+	MaxTotalSize     int           // bytes of all
+	IdleTimeout      time.Duration // a transfer that pauses this long is given up
+	MaxBlockSize      int           // largest block that is sent or asked for: 16 to 1,024
 }
 
 func (l *Limits) validate() error {
-	if l.Transfers < 1 || l.Body < 1 || l.Bytes < l.Body || l.Idle <= 0 || l.Size < 16 || l.Size > message.MaxBlockSize {
+	if l.MaxTransfers < 1 || l.MaxBodySize < 1 || l.MaxTotalSize < l.MaxBodySize || l.IdleTimeout <= 0 || l.MaxBlockSize < 16 || l.MaxBlockSize > message.MaxBlockSize {
 		return fmt.Errorf("block: limits %+v: wanted Transfers, Body, Idle above 0, Bytes of Body or more, Size 16 to 1024", *l)
 	}
 	return nil
@@ -63,8 +63,8 @@
 	byKey       map[string]*transfer
 	first, last *transfer
 	bytes       int
-	TurnedAway  int
-	GivenUp     int
+	Rejected  int
+	Abandoned     int
 }
 
 func newTable(lim Limits) (*table, error) {
@@ -114,8 +114,8 @@
 
 // expire gives up what has been idle too long.
 func (t *table) expire(now time.Duration) {
-	for t.first != nil && now-t.first.seen >= t.lim.Idle {
-		t.GivenUp++
+	for t.first != nil && now-t.first.seen >= t.lim.IdleTimeout {
+		t.Abandoned++
 		t.drop(t.first)
 	}
 }
@@ -123,10 +123,10 @@
 // room makes room for n more bytes of x, by giving up the transfers that have
 // been idle longest; false if there is none even so.
 func (t *table) room(x *transfer, n int) bool {
-	if len(x.body)+n > t.lim.Body {
+	if len(x.body)+n > t.lim.MaxBodySize {
 		return false
 	}
-	for t.bytes+n > t.lim.Bytes || t.byKey[x.key] != x && len(t.byKey) >= t.lim.Transfers {
+	for t.bytes+n > t.lim.MaxTotalSize || t.byKey[x.key] != x && len(t.byKey) >= t.lim.MaxTransfers {
 		old := t.first
 		if old == x {
 			old = x.newer
@@ -134,14 +134,14 @@
 		if old == nil {
 			return false
 		}
-		t.GivenUp++
+		t.Abandoned++
 		t.drop(old)
 	}
 	return true
 }
 
-// Held returns how many transfers are under way and how many bytes they hold.
-func (t *table) Held() (transfers, bytes int) { return len(t.byKey), t.bytes }
+// InFlight returns how many transfers are under way and how many bytes they hold.
+func (t *table) InFlight() (transfers, bytes int) { return len(t.byKey), t.bytes }
 
 // Receiver puts the bodies of requests together (Block1).
 type Receiver struct{ *table }
@@ -152,25 +152,25 @@
 	return &Receiver{t}, err
 }
 
-// Part is what became of a request with a Block1 option.
-type Part struct {
-	Whole bool          // Body is the whole body: the request is to be run
+// Progress is what became of a request with a Block1 option.
+type Progress struct {
+	Complete bool          // Body is the whole body: the request is to be run
 	Body  []byte        // not shared with anything that is kept
 	Code  message.Code  // else the answer's code
 	Block message.Block // to go into the answer; of the last block, too
-	Size1 int           // with 4.13: the most that is taken; else 0
+	MaxBodySize int           // with 4.13: the most that is taken; else 0
 }
 
-// Take takes a request with a Block1 option. key is Key of it.
-func (r *Receiver) Take(now time.Duration, key string, m *message.Message) Part {
+// Receive takes a request with a Block1 option. key is Key of it.
+func (r *Receiver) Receive(now time.Duration, key string, m *message.Message) Progress {
 	r.expire(now)
 	b, _, good := m.Block(message.Block1)
 	if !good || b.More && len(m.Payload) != b.Size || len(m.Payload) > b.Size {
 		// Section 2.2: the reserved size, and a block that is not full though
 		// more follow.
-		return Part{Code: message.BadRequest}
+		return Progress{Code: message.BadRequest}
 	}
-	part := Part{Block: message.Block{Num: b.Num, More: b.More, Size: b.Size}}
+	part := Progress{Block: message.Block{Num: b.Num, More: b.More, Size: b.Size}}
 	x := r.byKey[key]
 	offset := int(b.Num) * b.Size
 	switch {
@@ -187,10 +187,10 @@
 		}
 		return part
 	}
-	if size, there := m.Uint(message.Size1); there && int(size) > r.lim.Body || !r.room(x, len(m.Payload)) {
-		r.TurnedAway++
+	if size, there := m.Uint(message.Size1); there && int(size) > r.lim.MaxBodySize || !r.room(x, len(m.Payload)) {
+		r.Rejected++
 		r.drop(x)
-		part.Code, part.Size1 = message.RequestEntityTooLarge, r.lim.Body
+		part.Code, part.MaxBodySize = message.RequestEntityTooLarge, r.lim.MaxBodySize
 		return part
 	}
 	x.body = append(x.body, m.Payload...)
@@ -198,13 +198,13 @@
 	if !b.More {
 		r.touch(now, x)
 		r.drop(x)
-		part.Whole, part.Body = true, x.body
+		part.Complete, part.Body = true, x.body
 		return part
 	}
 	r.touch(now, x)
 	part.Code = message.Continue
 	// A smaller size is asked for with the first block only (section 2.3).
-	part.Block.Size = min(b.Size, r.lim.Size)
+	part.Block.Size = min(b.Size, r.lim.MaxBlockSize)
 	return part
 }
 
@@ -217,11 +217,11 @@
 	return &Sender{t}, err
 }
 
-// First returns the first block of an answer, or the whole of one that fits. It
+// FirstBlock returns the first block of an answer, or the whole of one that fits. It
 // keeps the rest for the requests that follow. key is Key of the request.
-func (s *Sender) First(now time.Duration, key string, req *message.Message, resp message.Message) message.Message {
+func (s *Sender) FirstBlock(now time.Duration, key string, req *message.Message, resp message.Message) message.Message {
 	s.expire(now)
-	size := s.lim.Size
+	size := s.lim.MaxBlockSize
 	b, there, good := req.Block(message.Block2)
 	if there && good {
 		size = min(size, b.Size)
@@ -240,7 +240,7 @@
 	x := &transfer{key: key, size: size}
 	if len(resp.Payload) > size {
 		if !s.room(x, len(resp.Payload)) {
-			s.TurnedAway++
+			s.Rejected++
 			return message.Message{Code: message.InternalServerError}
 		}
 		x.body, x.code = resp.Payload, resp.Code
@@ -251,8 +251,8 @@
 	return s.slice(resp, resp.Payload, 0, size)
 }
 
-// Next returns a further block of an answer that was kept; false if none is.
-func (s *Sender) Next(now time.Duration, key string, req *message.Message) (message.Message, bool) {
+// NextBlock returns a further block of an answer that was kept; false if none is.
+func (s *Sender) NextBlock(now time.Duration, key string, req *message.Message) (message.Message, bool) {
 	s.expire(now)
 	b, there, good := req.Block(message.Block2)
 	x := s.byKey[key]
@@ -260,7 +260,7 @@
 		return message.Message{}, false
 	}
 	s.touch(now, x)
-	size := min(b.Size, s.lim.Size)
+	size := min(b.Size, s.lim.MaxBlockSize)
 	if size < b.Size {
 		// It asks for larger blocks than were given: the number counts its own.
 		b.Num = uint32(int(b.Num) * b.Size / size)
@@ -305,28 +305,28 @@
 	return u.body[u.offset:to], message.Block{Num: uint32(u.offset / u.size), More: to < len(u.body), Size: u.size}
 }
 
-// Last tells whether the block that is out is the last: from then on the request
+// IsLast tells whether the block that is out is the last: from then on the request
 // may run.
-func (u *Upload) Last() bool { return u.offset+u.size >= len(u.body) }
+func (u *Upload) IsLast() bool { return u.offset+u.size >= len(u.body) }
 
 // Errors of transfers.
 var (
-	ErrBlock  = errors.New("block: an answer with another block than the one that was asked for")
-	ErrLong   = errors.New("block: a body over its bound")
-	ErrETag   = errors.New("block: the body changed between blocks")
-	ErrBroken = errors.New("block: a block that is not full, or of the reserved size")
+	ErrUnexpectedBlock  = errors.New("block: an answer with another block than the one that was asked for")
+	ErrBodyTooLarge   = errors.New("block: a body over its bound")
+	ErrBodyChanged   = errors.New("block: the body changed between blocks")
+	ErrMalformedBlock = errors.New("block: a block that is not full, or of the reserved size")
 )
 
-// Continue takes the answer to the block that is out. It returns true where the
+// HandleResponse takes the answer to the block that is out. It returns true where the
 // next one is to be sent, and false where the answer is the request's.
-func (u *Upload) Continue(m *message.Message) (bool, error) {
+func (u *Upload) HandleResponse(m *message.Message) (bool, error) {
 	b, there, good := m.Block(message.Block1)
 	switch {
 	case m.Code == message.Continue && (!there || !good):
-		return false, ErrBlock
+		return false, ErrUnexpectedBlock
 	case m.Code == message.Continue:
-		if int(b.Num) != u.offset/u.size || u.Last() {
-			return false, ErrBlock
+		if int(b.Num) != u.offset/u.size || u.IsLast() {
+			return false, ErrUnexpectedBlock
 		}
 		u.offset += u.size
 		// A smaller size holds from the next block on; the offset is a multiple
@@ -352,37 +352,37 @@
 // NewDownload begins a download of at most so many bytes.
 func NewDownload(most int) *Download { return &Download{most: most} }
 
-// Take takes an answer. It returns the block to ask for next, or false where the
+// Receive takes an answer. It returns the block to ask for next, or false where the
 // body is whole.
-func (d *Download) Take(m *message.Message) (next message.Block, more bool, err error) {
+func (d *Download) HandleResponse(m *message.Message) (next message.Block, more bool, err error) {
 	b, there, good := m.Block(message.Block2)
 	if !there {
 		if len(d.body) > 0 {
-			return next, false, ErrBlock
+			return next, false, ErrUnexpectedBlock
 		}
 		if len(m.Payload) > d.most {
-			return next, false, ErrLong
+			return next, false, ErrBodyTooLarge
 		}
 		d.body = append(d.body, m.Payload...)
 		return next, false, nil
 	}
 	if !good || b.More && len(m.Payload) != b.Size || len(m.Payload) > b.Size {
-		return next, false, ErrBroken
+		return next, false, ErrMalformedBlock
 	}
 	if int(b.Num)*b.Size != len(d.body) {
-		return next, false, ErrBlock
+		return next, false, ErrUnexpectedBlock
 	}
 	etag, _ := m.Get(message.ETag)
 	if len(d.body) > 0 && string(etag) != string(d.etag) {
-		return next, false, ErrETag
+		return next, false, ErrBodyChanged
 	}
 	d.etag = append(d.etag[:0], etag...)
 	if len(d.body)+len(m.Payload) > d.most {
-		return next, false, ErrLong
+		return next, false, ErrBodyTooLarge
 	}
 	d.body = append(d.body, m.Payload...)
 	return message.Block{Num: b.Num + 1, Size: b.Size}, b.More, nil
 }
 
-// Body is what has come so far.
+// MaxBodySize is what has come so far.
 func (d *Download) Body() []byte { return d.body }
--- a/internal/coap/block/block_test.go
+++ b/internal/coap/block/block_test.go
@@ -13,7 +13,7 @@
 )
 
 func limits() Limits {
-	return Limits{Transfers: 4, Body: 64 << 10, Bytes: 128 << 10, Idle: time.Minute, Size: 1024}
+	return Limits{MaxTransfers: 4, MaxBodySize: 64 << 10, MaxTotalSize: 128 << 10, IdleTimeout: time.Minute, MaxBlockSize: 1024}
 }
 
 func part(num uint32, more bool, size int, payload []byte) *message.Message {
@@ -29,7 +29,7 @@
 		body := bytes.Repeat([]byte("0123456789abcdefg"), 4000)[:rapid.IntRange(1, 64<<10).Draw(t, "length")]
 		sizes := []int{16, 64, 256, 1024}
 		lim := limits()
-		lim.Size = rapid.SampledFrom(sizes).Draw(t, "server")
+		lim.MaxBlockSize = rapid.SampledFrom(sizes).Draw(t, "server")
 		r, err := NewReceiver(lim)
 		if err != nil {
 			t.Fatal(err)
@@ -41,24 +41,24 @@
 				t.Fatal("the upload does not end")
 			}
 			payload, b := u.Block()
-			p := r.Take(0, "k", part(b.Num, b.More, b.Size, payload))
-			if p.Whole {
+			p := r.Receive(0, "k", part(b.Num, b.More, b.Size, payload))
+			if p.Complete {
 				got = p.Body
-				if !u.Last() {
+				if !u.IsLast() {
 					t.Fatal("whole before the last block")
 				}
 				break
 			}
 			answer := &message.Message{Code: p.Code}
 			answer.AddBlock(message.Block1, p.Block)
-			if more, err := u.Continue(answer); err != nil || !more {
+			if more, err := u.HandleResponse(answer); err != nil || !more {
 				t.Fatalf("after block %+v: %v %v %v", b, p.Code, more, err)
 			}
 		}
 		if !bytes.Equal(got, body) {
 			t.Fatalf("%d bytes came of %d", len(got), len(body))
 		}
-		if n, held := r.Held(); n != 0 || held != 0 {
+		if n, held := r.InFlight(); n != 0 || held != 0 {
 			t.Fatalf("%d transfers with %d bytes are left", n, held)
 		}
 
@@ -68,12 +68,12 @@
 		if rapid.Bool().Draw(t, "early") { // the client says its size first
 			req.AddBlock(message.Block2, message.Block{Size: rapid.SampledFrom(sizes).Draw(t, "wanted")})
 		}
-		resp := s.First(0, "k", req, message.Message{Code: message.Content, Payload: body})
+		resp := s.FirstBlock(0, "k", req, message.Message{Code: message.Content, Payload: body})
 		for i := 0; ; i++ {
 			if i > 5000 {
 				t.Fatal("the download does not end")
 			}
-			next, more, err := d.Take(&resp)
+			next, more, err := d.HandleResponse(&resp)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 			req := &message.Message{Code: message.GET}
 			req.AddBlock(message.Block2, next)
 			var ok bool
-			if resp, ok = s.Next(0, "k", req); !ok {
+			if resp, ok = s.NextBlock(0, "k", req); !ok {
 				t.Fatalf("block %+v was not kept", next)
 			}
 		}
@@ -107,14 +107,14 @@
 		{"the reserved size", []*message.Message{{Code: message.POST, Options: []message.Option{{Number: message.Block1, Value: []byte{7}}}}}, message.BadRequest},
 	} {
 		r, _ := NewReceiver(limits())
-		var got Part
+		var got Progress
 		for _, m := range c.parts {
-			got = r.Take(0, "k", m)
+			got = r.Receive(0, "k", m)
 		}
-		if got.Code != c.want || got.Whole {
+		if got.Code != c.want || got.Complete {
 			t.Errorf("%s: %v", c.name, got.Code)
 		}
-		if n, _ := r.Held(); n != 0 {
+		if n, _ := r.InFlight(); n != 0 {
 			t.Errorf("%s: %d transfers are left", c.name, n)
 		}
 	}
@@ -122,11 +122,11 @@
 	r, _ := NewReceiver(limits())
 	m := part(0, true, 1024, full)
 	m.AddUint(message.Size1, 1<<20)
-	if p := r.Take(0, "k", m); p.Code != message.RequestEntityTooLarge || p.Size1 != 64<<10 {
+	if p := r.Receive(0, "k", m); p.Code != message.RequestEntityTooLarge || p.MaxBodySize != 64<<10 {
 		t.Errorf("announced: %+v", p)
 	}
 	for i := uint32(0); ; i++ {
-		p := r.Take(0, "k", part(i, true, 1024, full))
+		p := r.Receive(0, "k", part(i, true, 1024, full))
 		if p.Code == message.RequestEntityTooLarge {
 			if i != 64 {
 				t.Errorf("turned away at block %d", i)
@@ -143,23 +143,23 @@
 func TestBounds(t *testing.T) {
 	r, _ := NewReceiver(limits())
 	for i := range 10 {
-		r.Take(time.Duration(i)*time.Second, fmt.Sprint(i), part(0, true, 1024, make([]byte, 1024)))
+		r.Receive(time.Duration(i)*time.Second, fmt.Sprint(i), part(0, true, 1024, make([]byte, 1024)))
 	}
-	if n, held := r.Held(); n != 4 || held != 4096 || r.GivenUp != 6 {
-		t.Errorf("%d transfers, %d bytes, %d given up", n, held, r.GivenUp)
+	if n, held := r.InFlight(); n != 4 || held != 4096 || r.Abandoned != 6 {
+		t.Errorf("%d transfers, %d bytes, %d given up", n, held, r.Abandoned)
 	}
-	if p := r.Take(10*time.Second, "9", part(1, true, 1024, make([]byte, 1024))); p.Code != message.Continue {
+	if p := r.Receive(10*time.Second, "9", part(1, true, 1024, make([]byte, 1024))); p.Code != message.Continue {
 		t.Errorf("the latest was given up: %v", p.Code)
 	}
-	if p := r.Take(10*time.Second, "0", part(1, true, 1024, make([]byte, 1024))); p.Code != message.RequestEntityIncomplete {
+	if p := r.Receive(10*time.Second, "0", part(1, true, 1024, make([]byte, 1024))); p.Code != message.RequestEntityIncomplete {
 		t.Errorf("the oldest was kept: %v", p.Code)
 	}
-	r.Take(5*time.Minute, "x", part(0, true, 16, make([]byte, 16)))
-	if n, held := r.Held(); n != 1 || held != 16 {
+	r.Receive(5*time.Minute, "x", part(0, true, 16, make([]byte, 16)))
+	if n, held := r.InFlight(); n != 1 || held != 16 {
 		t.Errorf("after five minutes: %d transfers, %d bytes", n, held)
 	}
 	s, _ := NewSender(limits())
-	if resp := s.First(0, "k", &message.Message{}, message.Message{Code: message.Content, Payload: make([]byte, 65<<10)}); resp.Code != message.InternalServerError {
+	if resp := s.FirstBlock(0, "k", &message.Message{}, message.Message{Code: message.Content, Payload: make([]byte, 65<<10)}); resp.Code != message.InternalServerError {
 		t.Errorf("an answer over the bound: %v", resp.Code)
 	}
 }
@@ -176,26 +176,26 @@
 		answers []*message.Message
 		want    error
 	}{
-		{"another block", []*message.Message{answer(0, true, 16, 16, "a"), answer(2, true, 16, 16, "a")}, ErrBlock},
-		{"a changed body", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "b")}, ErrETag},
-		{"a block that is not full", []*message.Message{answer(0, true, 16, 10, "a")}, ErrBroken},
-		{"a body over the bound", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "a"), answer(2, false, 16, 16, "a")}, ErrLong},
-		{"no block behind a block", []*message.Message{answer(0, true, 16, 16, "a"), {Code: message.Content}}, ErrBlock},
+		{"another block", []*message.Message{answer(0, true, 16, 16, "a"), answer(2, true, 16, 16, "a")}, ErrUnexpectedBlock},
+		{"a changed body", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "b")}, ErrBodyChanged},
+		{"a block that is not full", []*message.Message{answer(0, true, 16, 10, "a")}, ErrMalformedBlock},
+		{"a body over the bound", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "a"), answer(2, false, 16, 16, "a")}, ErrBodyTooLarge},
+		{"no block behind a block", []*message.Message{answer(0, true, 16, 16, "a"), {Code: message.Content}}, ErrUnexpectedBlock},
 	} {
 		d := NewDownload(40)
 		var err error
 		for _, m := range c.answers {
-			_, _, err = d.Take(m)
+			_, _, err = d.HandleResponse(m)
 		}
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
 	u := NewUpload(make([]byte, 100), 16)
-	if _, err := u.Continue(&message.Message{Code: message.Continue}); !errors.Is(err, ErrBlock) {
+	if _, err := u.HandleResponse(&message.Message{Code: message.Continue}); !errors.Is(err, ErrUnexpectedBlock) {
 		t.Errorf("a Continue without a block: %v", err)
 	}
-	if more, err := u.Continue(&message.Message{Code: message.NotFound}); more || err != nil {
+	if more, err := u.HandleResponse(&message.Message{Code: message.NotFound}); more || err != nil {
 		t.Errorf("an error in the middle: %v %v", more, err)
 	}
 }
@@ -217,13 +217,13 @@
 func FuzzReceiver(f *testing.F) {
 	f.Add([]byte{8}, []byte("0123456789abcdef"), []byte{0x10}, []byte("x"))
 	f.Fuzz(func(t *testing.T, b1, p1, b2, p2 []byte) {
-		r, _ := NewReceiver(Limits{Transfers: 1, Body: 64, Bytes: 64, Idle: time.Second, Size: 16})
+		r, _ := NewReceiver(Limits{MaxTransfers: 1, MaxBodySize: 64, MaxTotalSize: 64, IdleTimeout: time.Second, MaxBlockSize: 16})
 		for _, x := range [][2][]byte{{b1, p1}, {b2, p2}} {
-			p := r.Take(0, "k", &message.Message{Code: message.POST, Payload: x[1], Options: []message.Option{{Number: message.Block1, Value: x[0]}}})
+			p := r.Receive(0, "k", &message.Message{Code: message.POST, Payload: x[1], Options: []message.Option{{Number: message.Block1, Value: x[0]}}})
 			if len(p.Body) > 64 {
 				t.Fatalf("%d bytes", len(p.Body))
 			}
-			if _, held := r.Held(); held > 64 || held < 0 {
+			if _, held := r.InFlight(); held > 64 || held < 0 {
 				t.Fatalf("%d bytes held", held)
 			}
 		}
--- a/internal/coap/block/wire_test.go
+++ b/internal/coap/block/wire_test.go
@@ -23,7 +23,7 @@
 		fmt.Fprintf(&list, "%s %x\n", role, text)
 	}
 	lim := limits()
-	lim.Size = 32
+	lim.MaxBlockSize = 32
 	r, err := NewReceiver(lim)
 	if err != nil {
 		t.Fatal(err)
@@ -35,15 +35,15 @@
 		request := part(b.Num, b.More, b.Size, payload)
 		fmt.Fprintf(&list, "key %x\n", Key("peer", request))
 		datagram("request", *request)
-		p := r.Take(0, "k", request)
-		done = p.Whole
+		p := r.Receive(0, "k", request)
+		done = p.Complete
 		response := message.Message{Code: p.Code}
 		if done {
 			response.Code = message.Changed
 		}
 		response.AddBlock(message.Block1, p.Block)
 		datagram("response", response)
-		if more, err := u.Continue(&response); err != nil || more == done {
+		if more, err := u.HandleResponse(&response); err != nil || more == done {
 			t.Fatalf("after block %+v: more %v, %v", b, more, err)
 		}
 	}
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	d := NewDownload(1000)
-	response := s.First(0, "k", &message.Message{Code: message.GET}, message.Message{Code: message.Content, Payload: body})
+	response := s.FirstBlock(0, "k", &message.Message{Code: message.GET}, message.Message{Code: message.Content, Payload: body})
 	for {
 		datagram("response", response)
-		next, more, err := d.Take(&response)
+		next, more, err := d.HandleResponse(&response)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 		request.AddBlock(message.Block2, next)
 		datagram("request", request)
 		var found bool
-		if response, found = s.Next(0, "k", &request); !found {
+		if response, found = s.NextBlock(0, "k", &request); !found {
 			t.Fatalf("block %+v was not kept", next)
 		}
 	}
--- a/internal/coap/caller/caller.go
+++ b/internal/coap/caller/caller.go
@@ -19,7 +19,7 @@
 // Ending is how an attempt ended.
 type Ending int
 
-// The endings. Of all but Served, TurnedAway and NotThere the request may have
+// The endings. Of all but Served, Rejected and NotThere the request may have
 // run.
 const (
 	Served     Ending = iota
@@ -198,7 +198,7 @@
 	case a.whole: // set by download
 	case a.up != nil:
 		part, b := a.up.Block()
-		m.Payload, last = part, a.up.Last()
+		m.Payload, last = part, a.up.IsLast()
 		m.AddBlock(message.Block1, b)
 	default:
 		m.Payload = a.req.Body
@@ -269,7 +269,7 @@
 	return c.done()
 }
 
-// Next returns when Tick has something to do; false if there is nothing.
+// NextBlock returns when Tick has something to do; false if there is nothing.
 func (c *Caller) Next() (time.Duration, bool) { return c.ex.Next() }
 
 // Tick does what is due by now.
@@ -327,7 +327,7 @@
 		return
 	}
 	if a.first.Code == 0 && a.up != nil {
-		more, err := a.up.Continue(m)
+		more, err := a.up.HandleResponse(m)
 		switch {
 		case err != nil && a.whole:
 			c.end(a, Action{Ending: Erred})
@@ -385,7 +385,7 @@
 
 // download takes an answer, or a block of it.
 func (c *Caller) download(now time.Duration, a *attempt, m *message.Message) {
-	next, more, err := a.down.Take(m)
+	next, more, err := a.down.HandleResponse(m)
 	if err != nil {
 		c.end(a, Action{Ending: Erred})
 		return
--- a/internal/coap/caller/caller_test.go
+++ b/internal/coap/caller/caller_test.go
@@ -78,7 +78,7 @@
 	p.AckTimeout, p.AckAfter = 100*time.Millisecond, 30*time.Millisecond
 	g, err := gate.New(gate.Settings{
 		Params: p, Limits: exchange.Limits{Open: 1000, Kept: 5000, KeptBytes: 1 << 20},
-		Blocks:        block.Limits{Transfers: 10, Body: 64 << 10, Bytes: 1 << 20, Idle: time.Minute, Size: 1024},
+		Blocks:        block.Limits{MaxTransfers: 10, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes:       map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: time.Hour}, "start-rec": {Effect: gate.Once, Deadline: time.Hour}},
 		DeadlineTimes: 4, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, Demand: w.demand, EchoKey: fmt.Appendf(nil, "the key of life %08d", w.lives), EchoAge: 10 * time.Second, Seed: w.lives,
--- a/internal/coap/gate/gate.go
+++ b/internal/coap/gate/gate.go
@@ -233,8 +233,8 @@
 	c := g.counts
 	c.Counts = g.ex.Counts()
 	c.Observers = len(g.watch.by)
-	in, _ := g.in.Held()
-	out, _ := g.out.Held()
+	in, _ := g.in.InFlight()
+	out, _ := g.out.InFlight()
 	c.Transfers = in + out
 	return c
 }
@@ -255,7 +255,7 @@
 	return g.ex.Carry(now), max(0, g.cleanAt-now)
 }
 
-// Continue takes what an earlier process wrote, age ago, before anything was
+// HandleResponse takes what an earlier process wrote, age ago, before anything was
 // received: from then on nothing is unknown but what was so there, for cleanIn more.
 // draining says that it still answers what it has open, until Alone.
 func (g *Gate) Continue(now, age time.Duration, text []byte, cleanIn time.Duration, draining bool) error {
@@ -337,7 +337,7 @@
 	})
 }
 
-// Next returns when Tick has something to do; false if there is nothing.
+// NextBlock returns when Tick has something to do; false if there is nothing.
 func (g *Gate) Next() (time.Duration, bool) {
 	at, ok := g.ex.Next()
 	if w, due := g.watch.next(); due && (!ok || w < at) {
@@ -398,7 +398,7 @@
 	}
 	x.key = block.Key(x.peer.String(), &x.req)
 	if b, there, good := x.req.Block(message.Block2); there && good && b.Num > 0 {
-		if next, ok := g.out.Next(now, x.key, &x.req); ok {
+		if next, ok := g.out.NextBlock(now, x.key, &x.req); ok {
 			g.reply(now, x, next)
 			return
 		}
@@ -418,8 +418,8 @@
 // gather puts a body together; false where the request is not whole, and has its
 // answer.
 func (g *Gate) gather(now time.Duration, x *open, r *Request) bool {
-	part := g.in.Take(now, x.key, &x.req)
-	if part.Whole {
+	part := g.in.Receive(now, x.key, &x.req)
+	if part.Complete {
 		r.Body = part.Body
 		return true
 	}
@@ -427,8 +427,8 @@
 	if part.Code != message.BadRequest {
 		m.AddBlock(message.Block1, part.Block)
 	}
-	if part.Size1 > 0 {
-		m.AddUint(message.Size1, uint32(part.Size1))
+	if part.MaxBodySize > 0 {
+		m.AddUint(message.Size1, uint32(part.MaxBodySize))
 	}
 	if part.Code.Class() == 4 {
 		g.counts.BadRequests++
@@ -514,7 +514,7 @@
 		g.observed(now, x, a, &m)
 	}
 	if m.Code.Class() == 2 {
-		m = g.out.First(now, x.key, &x.req, m)
+		m = g.out.FirstBlock(now, x.key, &x.req, m)
 	}
 	g.reply(now, x, m)
 	return g.done()
@@ -601,7 +601,7 @@
 			small := x.req
 			small.Options = slices.Clone(x.req.Options)
 			small.AddBlock(message.Block2, message.Block{Size: size})
-			if s := g.out.First(now, x.key, &small, m); length(&s, len(x.req.Token)) <= most {
+			if s := g.out.FirstBlock(now, x.key, &small, m); length(&s, len(x.req.Token)) <= most {
 				return s
 			}
 		}
--- a/internal/coap/gate/gate_test.go
+++ b/internal/coap/gate/gate_test.go
@@ -25,7 +25,7 @@
 func settings() Settings {
 	return Settings{
 		Params: exchange.Defaults(), Limits: exchange.Limits{Open: 100, Kept: 1000, KeptBytes: 1 << 20},
-		Blocks: block.Limits{Transfers: 10, Body: 64 << 10, Bytes: 256 << 10, Idle: 30 * time.Second, Size: 1024},
+		Blocks: block.Limits{MaxTransfers: 10, MaxBodySize: 64 << 10, MaxTotalSize: 256 << 10, IdleTimeout: 30 * time.Second, MaxBlockSize: 1024},
 		Classes: map[string]Class{
 			"roster": {Repeat, 500 * time.Millisecond}, "join": {Keyed, 2 * time.Second}, "start-rec": {Once, 1200 * time.Millisecond},
 		},
@@ -269,13 +269,13 @@
 		m.Payload = part
 		var sent []message.Message
 		asks, sent = split(t, g.Receive(0, near, text(t, m), nil))
-		if up.Last() {
+		if up.IsLast() {
 			break
 		}
 		if len(sent) != 1 || sent[0].Code != message.Continue {
 			t.Fatalf("block %d: %+v", b.Num, sent)
 		}
-		if more, err := up.Continue(&sent[0]); !more || err != nil {
+		if more, err := up.HandleResponse(&sent[0]); !more || err != nil {
 			t.Fatal(more, err)
 		}
 		id++
@@ -286,7 +286,7 @@
 	_, sent := split(t, g.Answer(0, asks[0].Handle, Answer{Outcome: Served, Body: body, ContentFormat: 42}, nil))
 	down := block.NewDownload(64 << 10)
 	for {
-		next, more, err := down.Take(&sent[0])
+		next, more, err := down.HandleResponse(&sent[0])
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coap/gate/observe.go
+++ b/internal/coap/gate/observe.go
@@ -166,7 +166,7 @@
 	o.tag = string(tag(a.Body))
 	o.seq++
 	m.AddUint(message.Observe, o.seq&0xffffff)
-	size := g.set.Blocks.Size
+	size := g.set.Blocks.MaxBlockSize
 	if len(m.Payload) > size {
 		// Section 2.6 of RFC 7959: the first block; the client fetches the rest by
 		// plain requests.
--- a/internal/coapfront/front_test.go
+++ b/internal/coapfront/front_test.go
@@ -79,7 +79,7 @@
 	p.AckTimeout, p.AckAfter = 200*time.Millisecond, 50*time.Millisecond
 	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Gate: gate.Settings{
 		Params: p, Limits: exchange.Limits{Open: 256, Kept: 4096, KeptBytes: 1 << 20},
-		Blocks:  block.Limits{Transfers: 16, Body: 64 << 10, Bytes: 1 << 20, Idle: patience, Size: 1024},
+		Blocks:  block.Limits{MaxTransfers: 16, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: patience, MaxBlockSize: 1024},
 		Classes: map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: gate.Once, Deadline: 30 * time.Second}},
 
 		DeadlineTimes: 4, Observers: 8, ObserveEvery: 50 * time.Millisecond, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
--- a/internal/coapfront/settings.go
+++ b/internal/coapfront/settings.go
@@ -54,7 +54,7 @@
 	return Settings{Listen: o.Listen, Bodies: bodies, State: o.StatePath, Gate: gate.Settings{
 		Params:  exchange.Defaults(),
 		Limits:  exchange.Limits{Open: o.MaxPendingRequests, Kept: o.MaxDedupEntries, KeptBytes: int(o.MaxDedupBytes), Settled: o.MaxCompletedUnsafe},
-		Blocks:  block.Limits{Transfers: o.MaxTransfers, Body: dispatch.MaxBodySize, Bytes: int(o.MaxTransferBytes), Idle: blockIdle, Size: 1024},
+		Blocks:  block.Limits{MaxTransfers: o.MaxTransfers, MaxBodySize: dispatch.MaxBodySize, MaxTotalSize: int(o.MaxTransferBytes), IdleTimeout: blockIdle, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: deadlineTimes, Observers: o.MaxObservers, ObserveEvery: o.ObserveInterval,
 		Trusted: trusted, Clean: o.FirstRun, EchoKey: key, EchoAge: echoAge, Seed: seed ^ 0x636f6170,
 	}}
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -53,7 +53,7 @@
 	p.AckAfter = 20 * time.Millisecond
 	g, err := gate.New(gate.Settings{
 		Params: p, Limits: exchange.Limits{Open: s.cfg.Queue + 1000, Kept: 1 << 20, KeptBytes: 64 << 20},
-		Blocks:  block.Limits{Transfers: 1000, Body: 64 << 10, Bytes: 64 << 20, Idle: time.Minute, Size: 1024},
+		Blocks:  block.Limits{MaxTransfers: 1000, MaxBodySize: 64 << 10, MaxTotalSize: 64 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: 1, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, Demand: s.cfg.Echo, EchoKey: key, EchoAge: echoAge,
 	})
--- a/internal/lab/standin/coapclient/coapclient.go
+++ b/internal/lab/standin/coapclient/coapclient.go
@@ -221,7 +221,7 @@
 		if err != nil {
 			return r, err
 		}
-		if more, err := up.Continue(&r); err != nil || !more {
+		if more, err := up.HandleResponse(&r); err != nil || !more {
 			return r, err
 		}
 	}
@@ -231,7 +231,7 @@
 	down := block.NewDownload(64 << 10)
 	first := r
 	for {
-		next, more, err := down.Take(&r)
+		next, more, err := down.HandleResponse(&r)
 		if err != nil {
 			return r, err
 		}
