--- a/internal/coap/caller/caller.go
+++ b/internal/coap/caller/caller.go
@@ -44,7 +44,7 @@
 	ContentFormat int // -1 for none
 }
 
-// Kind says what an action is.
+// ActionKind says what an action is.
 type Kind int
 
 // The kinds of action.
@@ -130,10 +130,10 @@
 // Counts are what its message layer did.
 func (c *Caller) Counts() exchange.Counts { return c.ex.Counts() }
 
-// HasRoom tells whether an attempt could begin now: whether there is an ID left.
-func (c *Caller) HasRoom(now time.Duration) bool { return c.ex.HasRoom(now, c.peer) }
+// HasCapacity tells whether an attempt could begin now: whether there is an ID left.
+func (c *Caller) HasRoom(now time.Duration) bool { return c.ex.HasCapacity(now, c.peer) }
 
-// Open is how many attempts are under way.
+// MaxPendingRequests is how many attempts are under way.
 func (c *Caller) Open() int { return len(c.byName) }
 
 func (c *Caller) done() []Action {
@@ -223,7 +223,7 @@
 	a.out = c.last
 	c.byOut[a.out] = a
 	once := a.req.Unsafe && a.whole && !a.echoed && c.manner != enforcing
-	acts, ok := c.ex.Ask(now, a.out, c.peer, m, once, nil)
+	acts, ok := c.ex.Request(now, a.out, c.peer, m, once, nil)
 	if !ok {
 		c.end(a, Action{Ending: NotThere})
 		return
@@ -262,10 +262,10 @@
 	return c.done()
 }
 
-// Unreachable takes the network's word that nobody is there.
+// PeerUnreachable takes the network's word that nobody is there.
 func (c *Caller) Unreachable(now time.Duration, acts []Action) []Action {
 	c.acts = acts
-	c.carry(now, c.ex.Unreachable(now, c.peer, nil))
+	c.carry(now, c.ex.PeerUnreachable(now, c.peer, nil))
 	return c.done()
 }
 
@@ -301,13 +301,13 @@
 
 // failed takes the end of an exchange without an answer.
 func (c *Caller) failed(a *attempt, x *exchange.Action) {
-	proof := x.Sent <= 1 && !x.Acked // one datagram, and it was not taken
+	proof := x.Transmissions <= 1 && !x.Acknowledged // one datagram, and it was not taken
 	switch {
 	case !a.whole:
 		c.end(a, Action{Ending: TurnedAway}) // it runs with its last block
 	case a.first.Code != 0:
 		c.end(a, Action{Ending: Erred}) // it ran, and its answer is not whole
-	case x.Why == exchange.Lost:
+	case x.Reason == exchange.TimedOut:
 		c.end(a, Action{Ending: Silent})
 	case proof:
 		c.end(a, Action{Ending: NotThere})
--- a/internal/coap/caller/caller_test.go
+++ b/internal/coap/caller/caller_test.go
@@ -60,9 +60,9 @@
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, demand bool) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), demand: demand, work: 20 * time.Millisecond, ran: map[string]int{}, ends: map[uint64][]Action{}, commit: map[uint64]bool{}, unsafe: map[uint64]bool{}}
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter, p.NStart = 100*time.Millisecond, 30*time.Millisecond, 1000
-	c, err := New(Settings{Params: p, Limits: exchange.ClientLimits{Open: 1000, Heard: 1000}, Body: 64 << 10, Block: 1024, EchoFor: 5 * time.Second, Seed: seed}, there)
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay, p.NStart = 100*time.Millisecond, 30*time.Millisecond, 1000
+	c, err := New(Settings{Params: p, Limits: exchange.ClientLimits{MaxInFlight: 1000, MaxDedupEntries: 1000}, Body: 64 << 10, Block: 1024, EchoFor: 5 * time.Second, Seed: seed}, there)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -74,10 +74,10 @@
 // restart begins another life of the server: nothing is left of the one before.
 func (w *world) restart() {
 	w.lives++
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter = 100*time.Millisecond, 30*time.Millisecond
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay = 100*time.Millisecond, 30*time.Millisecond
 	g, err := gate.New(gate.Settings{
-		Params: p, Limits: exchange.Limits{Open: 1000, Kept: 5000, KeptBytes: 1 << 20},
+		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: 1000, MaxDedupEntries: 5000, MaxDedupBytes: 1 << 20},
 		Blocks:        block.Limits{MaxTransfers: 10, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes:       map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: time.Hour}, "start-rec": {Effect: gate.Once, Deadline: time.Hour}},
 		DeadlineTimes: 4, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
--- a/internal/coap/exchange/carry_test.go
+++ b/internal/coap/exchange/carry_test.go
@@ -13,7 +13,7 @@
 // answer yet, is not run by the next, as long as it may be repeated; safe ones
 // and new ones are.
 func TestNextProcessKnows(t *testing.T) {
-	first, err := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 1)
+	first, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 			if a.Kind == Deliver {
 				ran = true
 				if id != 99 {
-					s.Answer(now, a.Handle, message.Message{Code: message.Changed}, nil)
+					s.Respond(now, a.Handle, message.Message{Code: message.Changed}, nil)
 				}
 			} else if a.Kind == Send {
 				sent = message.Code(a.Datagram[1])
@@ -35,13 +35,13 @@
 		post(first, 0, id, message.POST)
 	}
 	post(first, 0, 50, message.GET)
-	text := first.Carry(10 * time.Second)
+	text := first.ExportTable(10 * time.Second)
 	next := func(age time.Duration) *Server {
-		s, err := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 2)
+		s, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Continue(0, age, text, false); err != nil {
+		if err := s.ImportTable(0, age, text, false); err != nil {
 			t.Fatal(err)
 		}
 		return s
@@ -65,8 +65,8 @@
 	// While the one before still answers what it has open, repeats of that get no
 	// answer here; all else is as before.
 	s = func() *Server {
-		s, _ := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 2)
-		if err := s.Continue(0, 0, text, true); err != nil {
+		s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 2)
+		if err := s.ImportTable(0, 0, text, true); err != nil {
 			t.Fatal(err)
 		}
 		return s
@@ -77,7 +77,7 @@
 	if ran, sent := post(s, time.Second, 7, message.POST); ran || sent != message.BadGateway {
 		t.Errorf("one that it has answered: ran %v, answered %v", ran, sent)
 	}
-	s.Alone()
+	s.PredecessorEnded()
 	if ran, sent := post(s, time.Second, 99, message.POST); ran || sent != message.BadGateway {
 		t.Errorf("once that has ended: ran %v, answered %v", ran, sent)
 	}
@@ -87,24 +87,24 @@
 		"empty": nil, "cut": text[:len(text)-1], "cut by an entry": append(bytes.Clone(text[:len(text)-45]), text[len(text)-32:]...),
 		"another bit": append(append(bytes.Clone(text[:60]), text[60]^1), text[61:]...), "another version": append([]byte("otterspring coap exchanges 1\n"), text[len(carryMagic):]...),
 	} {
-		s, _ := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 2)
-		if err := s.Continue(0, 0, bad, false); !errors.Is(err, ErrCarried) || s.old.count != 0 {
+		s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 2)
+		if err := s.ImportTable(0, 0, bad, false); !errors.Is(err, ErrInvalidTable) || s.old.count != 0 {
 			t.Errorf("%s: %v, %d taken", name, err, s.old.count)
 		}
 	}
-	if err := s.Continue(0, 0, text, false); !errors.Is(err, ErrCarried) {
+	if err := s.ImportTable(0, 0, text, false); !errors.Is(err, ErrInvalidTable) {
 		t.Errorf("into a server that has exchanges: %v", err)
 	}
 }
 
 // FuzzContinue: no bytes make it panic, or take a table that it has not written.
 func FuzzContinue(f *testing.F) {
-	s, _ := NewServer(Defaults(), Limits{Open: 1, Kept: 1, Settled: 10}, 1)
-	f.Add(s.Carry(0))
+	s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 1, MaxDedupEntries: 1, MaxCompletedUnsafe: 10}, 1)
+	f.Add(s.ExportTable(0))
 	f.Add([]byte(carryMagic))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, _ := NewServer(Defaults(), Limits{Open: 1, Kept: 1, Settled: 10}, 1)
-		if err := s.Continue(0, 0, text, false); err == nil && !bytes.HasPrefix(text, []byte(carryMagic)) {
+		s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 1, MaxDedupEntries: 1, MaxCompletedUnsafe: 10}, 1)
+		if err := s.ImportTable(0, 0, text, false); err == nil && !bytes.HasPrefix(text, []byte(carryMagic)) {
 			t.Error("taken")
 		}
 	})
--- a/internal/coap/exchange/client.go
+++ b/internal/coap/exchange/client.go
@@ -12,8 +12,8 @@
 
 // ClientLimits bound what a Client holds.
 type ClientLimits struct {
-	Open  int // requests that have no answer yet, waiting ones among them
-	Heard int // answers of their own that are remembered, to acknowledge repeats
+	MaxInFlight  int // requests that have no answer yet, waiting ones among them
+	MaxDedupEntries int // answers of their own that are remembered, to acknowledge repeats
 }
 
 // clientExchange is a request until its answer has come or it is given up.
@@ -117,7 +117,7 @@
 	if err := p.validate(); err != nil {
 		return nil, err
 	}
-	if lim.Open < 1 || lim.Heard < 1 {
+	if lim.MaxInFlight < 1 || lim.MaxDedupEntries < 1 {
 		return nil, fmt.Errorf("exchange: limits %+v: wanted 1 or more", lim)
 	}
 	return &Client{p: p, lim: lim, rng: rand.New(rand.NewPCG(seed, 0x636f6170)), byTok: map[tokenKey]*clientExchange{},
@@ -127,8 +127,8 @@
 // Counts returns what it did so far.
 func (c *Client) Counts() Counts { return c.counts }
 
-// Open returns how many requests have no answer yet.
-func (c *Client) Open() int { return len(c.byName) }
+// MaxPendingRequests returns how many requests have no answer yet.
+func (c *Client) InFlight() int { return len(c.byName) }
 
 func (c *Client) send(peer Peer, datagram []byte) {
 	c.counts.Sent++
@@ -141,18 +141,18 @@
 	return acts
 }
 
-// Ask sends a request, named handle by the caller, to a server: its ID and token
+// Request sends a request, named handle by the caller, to a server: its ID and token
 // are filled in. once says that it is sent once and never again, though
 // confirmable. It returns false where there is no room; nothing is sent then.
-func (c *Client) Ask(now time.Duration, handle uint64, peer Peer, m message.Message, once bool, acts []Action) ([]Action, bool) {
+func (c *Client) Request(now time.Duration, handle uint64, peer Peer, m message.Message, once bool, acts []Action) ([]Action, bool) {
 	c.acts = acts
-	if len(c.byName) >= c.lim.Open || c.byName[handle] != nil {
-		c.counts.TurnedAway++
+	if len(c.byName) >= c.lim.MaxInFlight || c.byName[handle] != nil {
+		c.counts.CapacityRejections++
 		return c.done(), false
 	}
 	s := c.server(now, peer)
 	if s == nil || !s.freshID(now, c.p.ExchangeLifetime()) {
-		c.counts.TurnedAway++
+		c.counts.CapacityRejections++
 		return c.done(), false
 	}
 	x := &clientExchange{handle: handle, peer: peer, confirm: m.Type == message.Confirmable, once: once, msg: m}
@@ -163,7 +163,7 @@
 	c.byTok[tokenKey{peer, x.token}], c.byName[handle] = x, x
 	if s.out >= c.p.NStart {
 		s.queue = append(s.queue, x)
-		x.ends = now + c.p.TransmitWait()
+		x.ends = now + c.p.MaxTransmitWait()
 		c.plan(x)
 		return c.done(), true
 	}
@@ -194,10 +194,10 @@
 	return s
 }
 
-// HasRoom tells whether a request to a server could be asked now.
-func (c *Client) HasRoom(now time.Duration, peer Peer) bool {
+// HasCapacity tells whether a request to a server could be asked now.
+func (c *Client) HasCapacity(now time.Duration, peer Peer) bool {
 	s := c.servers[peer]
-	return len(c.byName) < c.lim.Open && (s == nil || s.freshID(now, c.p.ExchangeLifetime()))
+	return len(c.byName) < c.lim.MaxInFlight && (s == nil || s.freshID(now, c.p.ExchangeLifetime()))
 }
 
 // start sends a request for the first time.
@@ -205,7 +205,7 @@
 	id, ok := s.nextID(now, c.p.ExchangeLifetime())
 	if !ok {
 		// Nothing left: proven.
-		c.fail(now, x, Refused, 0)
+		c.fail(now, x, Unreachable, 0)
 		return
 	}
 	x.id = id
@@ -217,11 +217,11 @@
 	text, err := x.msg.Append(nil)
 	if err != nil {
 		// Nothing left: proven.
-		c.fail(now, x, Refused, 0)
+		c.fail(now, x, Unreachable, 0)
 		return
 	}
 	x.tx = c.p.begin(c.rng, text, now)
-	x.ends = now + c.p.TransmitWait()
+	x.ends = now + c.p.MaxTransmitWait()
 	if x.once || !x.confirm {
 		x.tx.sent = c.p.MaxRetransmit + 1
 		x.tx.due = x.ends
@@ -248,10 +248,10 @@
 }
 
 // fail ends a request without an answer.
-func (c *Client) fail(now time.Duration, x *clientExchange, why Why, sent int) {
+func (c *Client) fail(now time.Duration, x *clientExchange, why FailureReason, sent int) {
 	acked := x.state == acked
 	c.over(now, x)
-	c.acts = append(c.acts, Action{Kind: Failed, Peer: x.peer, Handle: x.handle, Why: why, Sent: sent, Acked: acked})
+	c.acts = append(c.acts, Action{Kind: Failed, Peer: x.peer, Handle: x.handle, Reason: why, Transmissions: sent, Acknowledged: acked})
 }
 
 // over forgets a request, and lets the next one for its server go.
@@ -296,9 +296,9 @@
 	return c.done(), n
 }
 
-// Unreachable takes the network's word that nobody is at that address: every
+// PeerUnreachable takes the network's word that nobody is at that address: every
 // request to it that is not acknowledged has ended.
-func (c *Client) Unreachable(now time.Duration, peer Peer, acts []Action) []Action {
+func (c *Client) PeerUnreachable(now time.Duration, peer Peer, acts []Action) []Action {
 	c.acts = acts
 	var gone []*clientExchange
 	for _, x := range c.byName {
@@ -308,7 +308,7 @@
 	}
 	slices.SortFunc(gone, func(a, b *clientExchange) int { return int(a.id) - int(b.id) })
 	for _, x := range gone {
-		c.fail(now, x, Refused, x.transmissions())
+		c.fail(now, x, Unreachable, x.transmissions())
 	}
 	return c.done()
 }
@@ -364,7 +364,7 @@
 	} else {
 		c.age(now)
 		if c.heard[k] {
-			c.counts.DedupHits++
+			c.counts.Duplicates++
 			if m.Type == message.Confirmable {
 				c.send(peer, plain(message.Acknowledgement, m.ID))
 			}
@@ -386,14 +386,14 @@
 	n, was := x.transmissions(), x.state == acked
 	answer := clone(m)
 	c.over(now, x)
-	c.acts = append(c.acts, Action{Kind: Response, Peer: peer, Handle: x.handle, Message: answer, Sent: n, Acked: was})
+	c.acts = append(c.acts, Action{Kind: Response, Peer: peer, Handle: x.handle, Message: answer, Transmissions: n, Acknowledged: was})
 }
 
 // remember notes an answer that came by itself. When there are too many the
 // oldest is forgotten: a repeat of it is rejected then, which the server takes
 // for a client that does not care any more.
 func (c *Client) remember(now time.Duration, k key) {
-	if len(c.heardAt) >= c.lim.Heard {
+	if len(c.heardAt) >= c.lim.MaxDedupEntries {
 		delete(c.heard, c.heardAt[0].key)
 		c.heardAt = c.heardAt[1:]
 	}
@@ -420,10 +420,10 @@
 		x := c.timers[0].x
 		switch {
 		case x.ends <= now:
-			c.fail(now, x, Lost, x.transmissions())
+			c.fail(now, x, TimedOut, x.transmissions())
 			continue
 		case x.tx.again(&c.p):
-			c.counts.Retransmits++
+			c.counts.Retransmissions++
 			c.send(x.peer, x.tx.datagram)
 		default:
 			x.tx.due = x.ends // sent as often as it may: the last wait
--- a/internal/coap/exchange/exchange_test.go
+++ b/internal/coap/exchange/exchange_test.go
@@ -55,13 +55,13 @@
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), drop: func(int) bool { return false }, late: 10 * time.Millisecond,
 		work: 50 * time.Millisecond, ran: map[string]int{}, ends: map[uint64][]Action{}}
-	p := Defaults()
+	p := DefaultParams()
 	p.NStart = 8
 	var err error
-	if w.client, err = NewClient(p, ClientLimits{Open: 1000, Heard: 1000}, seed); err != nil {
+	if w.client, err = NewClient(p, ClientLimits{MaxInFlight: 1000, MaxDedupEntries: 1000}, seed); err != nil {
 		t.Fatalf("%v", err)
 	}
-	if w.server, err = NewServer(p, Limits{Open: 100, Kept: 10000, KeptBytes: 1 << 20}, seed+1); err != nil {
+	if w.server, err = NewServer(p, ServerLimits{MaxPendingRequests: 100, MaxDedupEntries: 10000, MaxDedupBytes: 1 << 20}, seed+1); err != nil {
 		t.Fatalf("%v", err)
 	}
 	return w
@@ -100,7 +100,7 @@
 func (w *world) ask(handle uint64, t message.Type, code message.Code) bool {
 	m := message.Message{Type: t, Code: code}
 	m.Add(message.URIPath, []byte(fmt.Sprint("r", handle)))
-	acts, ok := w.client.Ask(w.now, handle, serverAddr, m, w.once, nil)
+	acts, ok := w.client.Request(w.now, handle, serverAddr, m, w.once, nil)
 	w.fly(acts, true)
 	return ok
 }
@@ -145,7 +145,7 @@
 		}
 		w.answers = append(w.answers[:i:i], w.answers[i+1:]...)
 		i--
-		acts, err := w.server.Answer(w.now, a.handle, message.Message{Code: message.Changed, Payload: []byte(a.body)}, nil)
+		acts, err := w.server.Respond(w.now, a.handle, message.Message{Code: message.Changed, Payload: []byte(a.body)}, nil)
 		if err != nil {
 			w.t.Fatalf("%v", err)
 		}
@@ -200,11 +200,11 @@
 		if n := w.check(200); n < 190 {
 			t.Errorf("work %v: %d of 200 served", work, n)
 		}
-		if c := w.client.Counts(); c.Retransmits == 0 {
+		if c := w.client.Counts(); c.Retransmissions == 0 {
 			t.Error("nothing was sent again")
 		}
-		if open, _ := w.server.Held(); open != 0 || w.client.Open() != 0 {
-			t.Errorf("%d open at the server, %d at the client", open, w.client.Open())
+		if open, _ := w.server.Occupancy(); open != 0 || w.client.InFlight() != 0 {
+			t.Errorf("%d open at the server, %d at the client", open, w.client.InFlight())
 		}
 	}
 }
@@ -241,8 +241,8 @@
 			}
 		}
 		w.check(n)
-		if open, kept := w.server.Held(); open != 0 || kept != 0 || w.client.Open() != 0 || len(w.server.timers) != 0 {
-			t.Fatalf("left: %d open, %d kept, %d asked", open, kept, w.client.Open())
+		if open, kept := w.server.Occupancy(); open != 0 || kept != 0 || w.client.InFlight() != 0 || len(w.server.timers) != 0 {
+			t.Fatalf("left: %d open, %d kept, %d asked", open, kept, w.client.InFlight())
 		}
 	})
 }
@@ -254,7 +254,7 @@
 	w.drop = func(nth int) bool { return nth == 2 }
 	w.ask(1, message.Confirmable, message.POST)
 	w.run(time.Minute)
-	if w.check(1) != 1 || w.server.Counts().DedupHits != 1 || w.client.Counts().Retransmits != 1 {
+	if w.check(1) != 1 || w.server.Counts().Duplicates != 1 || w.client.Counts().Retransmissions != 1 {
 		t.Errorf("server %+v, client %+v", w.server.Counts(), w.client.Counts())
 	}
 	// The same for the acknowledgement of an answer that goes by itself: request,
@@ -264,7 +264,7 @@
 	w.drop = func(nth int) bool { return nth == 4 }
 	w.ask(1, message.Confirmable, message.POST)
 	w.run(time.Minute)
-	if w.check(1) != 1 || w.server.Counts().Retransmits != 1 || w.client.Counts().DedupHits != 1 {
+	if w.check(1) != 1 || w.server.Counts().Retransmissions != 1 || w.client.Counts().Duplicates != 1 {
 		t.Errorf("server %+v, client %+v", w.server.Counts(), w.client.Counts())
 	}
 }
@@ -279,7 +279,7 @@
 	w.drop = func(int) bool { return true }
 	id := ask(w)
 	w.fly(w.client.Receive(w.now, serverAddr, &message.Message{Type: message.Reset, ID: id}, nil), true)
-	if e := w.ends[1]; len(e) != 1 || e[0].Why != Rejected || e[0].Sent != 1 || e[0].Acked {
+	if e := w.ends[1]; len(e) != 1 || e[0].Reason != Rejected || e[0].Transmissions != 1 || e[0].Acknowledged {
 		t.Errorf("a Reset to the first datagram: %+v", e)
 	}
 	w = newWorld(t, 5)
@@ -287,21 +287,21 @@
 	id = ask(w)
 	w.run(10 * time.Second)
 	w.fly(w.client.Receive(w.now, serverAddr, &message.Message{Type: message.Reset, ID: id}, nil), true)
-	if e := w.ends[1]; len(e) != 1 || e[0].Sent < 2 {
+	if e := w.ends[1]; len(e) != 1 || e[0].Transmissions < 2 {
 		t.Errorf("a Reset after repeats: %+v", e)
 	}
 	w = newWorld(t, 5)
 	w.drop = func(int) bool { return true }
 	ask(w)
-	w.fly(w.client.Unreachable(w.now, serverAddr, nil), true)
-	if e := w.ends[1]; len(e) != 1 || e[0].Why != Refused || e[0].Sent != 1 {
+	w.fly(w.client.PeerUnreachable(w.now, serverAddr, nil), true)
+	if e := w.ends[1]; len(e) != 1 || e[0].Reason != Unreachable || e[0].Transmissions != 1 {
 		t.Errorf("refused by the network: %+v", e)
 	}
 	w = newWorld(t, 5)
 	w.drop = func(int) bool { return true }
 	ask(w)
 	w.run(5 * time.Minute)
-	if e := w.ends[1]; len(e) != 1 || e[0].Why != Lost || e[0].Sent != 5 {
+	if e := w.ends[1]; len(e) != 1 || e[0].Reason != TimedOut || e[0].Transmissions != 5 {
 		t.Errorf("silence: %+v", e)
 	}
 	w = newWorld(t, 5)
@@ -309,7 +309,7 @@
 	w.drop = func(int) bool { return true }
 	ask(w)
 	w.run(5 * time.Minute)
-	if e := w.ends[1]; len(e) != 1 || e[0].Sent != 1 || w.nth != 1 {
+	if e := w.ends[1]; len(e) != 1 || e[0].Transmissions != 1 || w.nth != 1 {
 		t.Errorf("sent once: %+v, %d datagrams", e, w.nth)
 	}
 }
@@ -353,7 +353,7 @@
 // With no room a safe request is refused and an unsafe one gets no answer;
 // finished exchanges that are safe to run again make room, unsafe ones never.
 func TestRoom(t *testing.T) {
-	s, err := NewServer(Defaults(), Limits{Open: 2, Kept: 3, KeptBytes: 0}, 1)
+	s, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 2, MaxDedupEntries: 3, MaxDedupBytes: 0}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +364,7 @@
 		if len(acts) != 1 || acts[0].Kind != Deliver {
 			t.Fatalf("not delivered: %+v", acts)
 		}
-		s.Answer(0, acts[0].Handle, message.Message{Code: message.Content}, nil)
+		s.Respond(0, acts[0].Handle, message.Message{Code: message.Content}, nil)
 	}
 	first := receive(1, message.POST)
 	second := receive(2, message.GET)
@@ -378,7 +378,7 @@
 	answer(second)
 	answer(receive(5, message.POST))
 	answer(receive(6, message.POST)) // the finished GET makes room
-	if c := s.Counts(); c.Forgotten != 1 {
+	if c := s.Counts(); c.Evicted != 1 {
 		t.Errorf("%+v", c)
 	}
 	if acts := receive(7, message.POST); len(acts) != 0 {
@@ -389,9 +389,9 @@
 		t.Errorf("a repeat without a kept answer: %+v", acts)
 	}
 	// When no repeat can come any more there is room again.
-	p := Defaults()
+	p := DefaultParams()
 	s.Tick(p.ExchangeLifetime(), nil)
-	if _, kept := s.Held(); kept != 0 {
+	if _, kept := s.Occupancy(); kept != 0 {
 		t.Errorf("%d kept after their lifetime", kept)
 	}
 }
@@ -410,14 +410,14 @@
 	if !reset(w.client.Receive(0, serverAddr, &answer, nil)) || !reset(w.server.Receive(0, clientAddr, &answer, nil)) {
 		t.Error("an answer that nobody asked for gets no Reset")
 	}
-	if acts := w.server.Malformed(clientAddr, &message.Message{Type: message.Confirmable, ID: 3}, message.ErrTruncated, nil); !reset(acts) {
+	if acts := w.server.ReceiveMalformed(clientAddr, &message.Message{Type: message.Confirmable, ID: 3}, message.ErrTruncated, nil); !reset(acts) {
 		t.Errorf("a malformed confirmable message: %+v", acts)
 	}
 	for _, bad := range []struct {
 		t   message.Type
 		err error
 	}{{message.NonConfirmable, message.ErrTruncated}, {message.Confirmable, message.ErrNotCoAP}, {message.Reset, message.ErrNonEmpty}} {
-		if acts := w.server.Malformed(clientAddr, &message.Message{Type: bad.t}, bad.err, nil); len(acts) != 0 {
+		if acts := w.server.ReceiveMalformed(clientAddr, &message.Message{Type: bad.t}, bad.err, nil); len(acts) != 0 {
 			t.Errorf("%v %v was answered: %+v", bad.t, bad.err, acts)
 		}
 	}
@@ -426,19 +426,19 @@
 	w.ask(2, message.Confirmable, message.POST)
 	a, b := w.client.byName[1], w.client.byName[2]
 	mixed := message.Message{Type: message.Acknowledgement, Code: message.Content, ID: a.id, Token: b.msg.Token}
-	if acts := w.client.Receive(0, serverAddr, &mixed, nil); len(acts) != 0 || w.client.Open() != 2 {
+	if acts := w.client.Receive(0, serverAddr, &mixed, nil); len(acts) != 0 || w.client.InFlight() != 2 {
 		t.Errorf("a mixed-up acknowledgement: %+v", acts)
 	}
 }
 
 func TestLifetimesOfTheRFC(t *testing.T) {
-	p := Defaults()
-	if p.TransmitSpan() != 45*time.Second || p.TransmitWait() != 93*time.Second || p.ExchangeLifetime() != 247*time.Second || p.NonLifetime() != 145*time.Second {
-		t.Errorf("%v %v %v %v", p.TransmitSpan(), p.TransmitWait(), p.ExchangeLifetime(), p.NonLifetime())
+	p := DefaultParams()
+	if p.MaxTransmitSpan() != 45*time.Second || p.MaxTransmitWait() != 93*time.Second || p.ExchangeLifetime() != 247*time.Second || p.NonLifetime() != 145*time.Second {
+		t.Errorf("%v %v %v %v", p.MaxTransmitSpan(), p.MaxTransmitWait(), p.ExchangeLifetime(), p.NonLifetime())
 	}
 	bad := p
-	bad.AckAfter = bad.AckTimeout
-	if _, err := NewServer(bad, Limits{Open: 1, Kept: 1}, 1); err == nil {
+	bad.AckDelay = bad.AckTimeout
+	if _, err := NewServer(bad, ServerLimits{MaxPendingRequests: 1, MaxDedupEntries: 1}, 1); err == nil {
 		t.Error("AckAfter of AckTimeout was taken")
 	}
 }
@@ -449,12 +449,12 @@
 	f.Add([]byte{0x40, 1, 0, 1}, []byte{0x60, 0, 0, 1})
 	f.Add([]byte{0x50, 2, 0, 1, 0xb1, 'a'}, []byte{0x70, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		s, _ := NewServer(Defaults(), Limits{Open: 1, Kept: 1, KeptBytes: 10}, 1)
+		s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 1, MaxDedupEntries: 1, MaxDedupBytes: 10}, 1)
 		for i, text := range [][]byte{a, b, a} {
 			var m message.Message
 			var acts []Action
 			if err := message.Decode(text, &m); err != nil {
-				acts = s.Malformed(clientAddr, &m, err, nil)
+				acts = s.ReceiveMalformed(clientAddr, &m, err, nil)
 			} else {
 				acts = s.Receive(time.Duration(i)*time.Second, clientAddr, &m, nil)
 			}
@@ -471,14 +471,14 @@
 // repeated, however few requests are open at a time; when all have been given
 // there is no room until then.
 func TestIDsDoNotComeAgainTooSoon(t *testing.T) {
-	p := Defaults()
-	c, err := NewClient(p, ClientLimits{Open: 10, Heard: 10}, 1)
+	p := DefaultParams()
+	c, err := NewClient(p, ClientLimits{MaxInFlight: 10, MaxDedupEntries: 10}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := map[uint16]time.Duration{}
 	ask := func(now time.Duration, h uint64) bool {
-		acts, ok := c.Ask(now, h, serverAddr, message.Message{Type: message.Confirmable, Code: message.GET}, false, nil)
+		acts, ok := c.Request(now, h, serverAddr, message.Message{Type: message.Confirmable, Code: message.GET}, false, nil)
 		if !ok {
 			return false
 		}
@@ -499,10 +499,10 @@
 	if n < 60_000 || n > 1<<16 {
 		t.Errorf("%d were asked in one moment", n)
 	}
-	if c.HasRoom(time.Second, serverAddr) || c.HasRoom(p.ExchangeLifetime(), serverAddr) {
+	if c.HasCapacity(time.Second, serverAddr) || c.HasCapacity(p.ExchangeLifetime(), serverAddr) {
 		t.Error("it says that there is room")
 	}
-	if now := 2*time.Second + p.ExchangeLifetime(); !c.HasRoom(now, serverAddr) || !ask(now, n+1) {
+	if now := 2*time.Second + p.ExchangeLifetime(); !c.HasCapacity(now, serverAddr) || !ask(now, n+1) {
 		t.Error("after a lifetime there is no room")
 	}
 	// At a pace that fits there is always room.
--- a/internal/coap/exchange/params.go
+++ b/internal/coap/exchange/params.go
@@ -25,16 +25,16 @@
 	// (section 4.7). 1 suits the open Internet; a call server next door, whose
 	// load the decision module bounds, takes more.
 	NStart int
-	// AckAfter is how long a server waits with an empty acknowledgement for its
+	// AckDelay is how long a server waits with an empty acknowledgement for its
 	// answer to be ready: within it the answer goes with the acknowledgement. It
 	// must stay well under AckTimeout, else clients repeat for nothing.
-	AckAfter time.Duration
+	AckDelay time.Duration
 }
 
-// Defaults are the RFC's values; AckAfter, which it leaves open, is a quarter of
+// DefaultParams are the RFC's values; AckDelay, which it leaves open, is a quarter of
 // AckTimeout.
-func Defaults() Params {
-	return Params{AckTimeout: 2 * time.Second, RandomFactor: 1.5, MaxRetransmit: 4, MaxLatency: 100 * time.Second, NStart: 1, AckAfter: 500 * time.Millisecond}
+func DefaultParams() Params {
+	return Params{AckTimeout: 2 * time.Second, RandomFactor: 1.5, MaxRetransmit: 4, MaxLatency: 100 * time.Second, NStart: 1, AckDelay: 500 * time.Millisecond}
 }
 
 func (p *Params) validate() error {
@@ -47,7 +47,7 @@
 		return errors.New("exchange: MaxRetransmit: outside 0 to 20")
 	case p.NStart < 1:
 		return errors.New("exchange: NStart: under 1")
-	case p.AckAfter <= 0 || p.AckAfter >= p.AckTimeout:
+	case p.AckDelay <= 0 || p.AckDelay >= p.AckTimeout:
 		return errors.New("exchange: AckAfter: outside 0 to AckTimeout")
 	case p.MaxLatency < 0:
 		return errors.New("exchange: MaxLatency: negative")
@@ -55,25 +55,25 @@
 	return nil
 }
 
-// TransmitSpan is the longest time from the first transmission of a confirmable
+// MaxTransmitSpan is the longest time from the first transmission of a confirmable
 // message to its last (section 4.8.2): 45 s by default.
-func (p *Params) TransmitSpan() time.Duration {
+func (p *Params) MaxTransmitSpan() time.Duration {
 	return time.Duration(float64(p.AckTimeout) * float64(int(1)<<p.MaxRetransmit-1) * p.RandomFactor)
 }
 
-// TransmitWait is the longest time from there until the sender gives up: 93 s.
-func (p *Params) TransmitWait() time.Duration {
+// MaxTransmitWait is the longest time from there until the sender gives up: 93 s.
+func (p *Params) MaxTransmitWait() time.Duration {
 	return time.Duration(float64(p.AckTimeout) * float64(int(1)<<(p.MaxRetransmit+1)-1) * p.RandomFactor)
 }
 
 // ExchangeLifetime is how long a message ID of a confirmable message must not be
 // used anew, and a repeat of it may come: 247 s.
 func (p *Params) ExchangeLifetime() time.Duration {
-	return p.TransmitSpan() + 2*p.MaxLatency + p.AckTimeout
+	return p.MaxTransmitSpan() + 2*p.MaxLatency + p.AckTimeout
 }
 
 // NonLifetime is the same for a non-confirmable message: 145 s.
-func (p *Params) NonLifetime() time.Duration { return p.TransmitSpan() + p.MaxLatency }
+func (p *Params) NonLifetime() time.Duration { return p.MaxTransmitSpan() + p.MaxLatency }
 
 // Peer is an endpoint.
 type Peer = netip.AddrPort
@@ -84,41 +84,41 @@
 	id   uint16
 }
 
-// Kind says what an action is.
-type Kind int
+// ActionKind says what an action is.
+type ActionKind int
 
 // The kinds of action.
 const (
-	Send     Kind = iota // send Datagram to Peer
+	Send     ActionKind = iota // send Datagram to Peer
 	Deliver              // Server: a new request, Message, named Handle
 	Response             // Client: the answer, Message, to Handle
 	Failed               // Client: Handle ended without an answer, as Why says
 	Canceled             // Server: the client has rejected the answer to Handle
 )
 
-// Why is how a request ended without an answer.
-type Why int
+// Reason is how a request ended without an answer.
+type FailureReason int
 
 // The ways.
 const (
-	Rejected Why = iota // a Reset came
-	Lost                // nothing came, or nothing behind an acknowledgement
-	Refused             // the network said that nobody is there
+	Rejected FailureReason = iota // a Reset came
+	TimedOut                // nothing came, or nothing behind an acknowledgement
+	Unreachable             // the network said that nobody is there
 )
 
 // Action is one thing for the caller to do, in the order given.
 type Action struct {
-	Kind     Kind
+	Kind     ActionKind
 	Peer     Peer
 	Datagram []byte
 	Message  message.Message
 	Handle   uint64
-	Why      Why
+	Reason      FailureReason
 	// Of a request that ended: how often it was sent, and whether an empty
 	// acknowledgement had come. With Sent 1 and no acknowledgement a Reset
 	// proves that the request was not taken.
-	Sent  int
-	Acked bool
+	Transmissions  int
+	Acknowledged bool
 }
 
 // transmission is a confirmable message that waits for its acknowledgement.
@@ -150,12 +150,12 @@
 // Counts are what a side did, for operators.
 type Counts struct {
 	Received, Sent int
-	Retransmits    int
-	DedupHits      int // repeats that were answered from memory, or not at all
+	Retransmissions    int
+	Duplicates      int // repeats that were answered from memory, or not at all
 	Dropped        int // could not be answered or matched
-	TurnedAway     int // for want of room
-	Forgotten      int // finished exchanges given up early, all of them safe to repeat
-	Settled        int // others of which only a hash was kept
+	CapacityRejections     int // for want of room
+	Evicted      int // finished exchanges given up early, all of them safe to repeat
+	Compacted        int // others of which only a hash was kept
 	Resets         int // that came
 }
 
@@ -191,8 +191,8 @@
 }
 
 // String names a way to end.
-func (w Why) String() string {
-	if w < Rejected || w > Refused {
+func (w FailureReason) String() string {
+	if w < Rejected || w > Unreachable {
 		return fmt.Sprintf("Why(%d)", int(w))
 	}
 	return [...]string{"rejected", "lost", "refused"}[w]
--- a/internal/coap/exchange/server.go
+++ b/internal/coap/exchange/server.go
@@ -9,14 +9,14 @@
 	"otterspring/internal/coap/message"
 )
 
-// Limits bound what a Server holds.
-type Limits struct {
-	Open      int // exchanges that are not answered yet
-	Kept      int // exchanges remembered against repeats, the open ones among them
-	KeptBytes int // of answers remembered with them
-	// Settled bounds those of which nothing but a hash is remembered, once Kept has
+// ServerLimits bound what a Server holds.
+type ServerLimits struct {
+	MaxPendingRequests      int // exchanges that are not answered yet
+	MaxDedupEntries      int // exchanges remembered against repeats, the open ones among them
+	MaxDedupBytes int // of answers remembered with them
+	// MaxCompletedUnsafe bounds those of which nothing but a hash is remembered, once Kept has
 	// no room: a repeat of one is told that it may have run. 0 for none.
-	Settled int
+	MaxCompletedUnsafe int
 }
 
 // serverExchange is a request from its first datagram until no repeat of it can
@@ -74,7 +74,7 @@
 // times given to it never go back.
 type Server struct {
 	p      Params
-	lim    Limits
+	lim    ServerLimits
 	rng    *rand.Rand
 	byKey  map[key]*serverExchange
 	byOwn  map[key]*serverExchange // by the IDs of answers that go as messages of their own
@@ -96,23 +96,23 @@
 
 // NewServer returns a Server that remembers nothing. All its chance comes from
 // seed.
-func NewServer(p Params, lim Limits, seed uint64) (*Server, error) {
+func NewServer(p Params, lim ServerLimits, seed uint64) (*Server, error) {
 	if err := p.validate(); err != nil {
 		return nil, err
 	}
-	if lim.Open < 1 || lim.Kept < lim.Open || lim.KeptBytes < 0 || lim.Settled < 0 {
+	if lim.MaxPendingRequests < 1 || lim.MaxDedupEntries < lim.MaxPendingRequests || lim.MaxDedupBytes < 0 || lim.MaxCompletedUnsafe < 0 {
 		return nil, fmt.Errorf("exchange: limits %+v: wanted Open of 1 or more, and Kept no less", lim)
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x636f6170))
-	return &Server{p: p, lim: lim, rng: rng, old: newSettledSet(hashKey(rng), p.ExchangeLifetime(), lim.Settled), byKey: map[key]*serverExchange{}, byOwn: map[key]*serverExchange{},
+	return &Server{p: p, lim: lim, rng: rng, old: newSettledSet(hashKey(rng), p.ExchangeLifetime(), lim.MaxCompletedUnsafe), byKey: map[key]*serverExchange{}, byOwn: map[key]*serverExchange{},
 		handle: map[uint64]*serverExchange{}, ids: uint16(rng.Uint32())}, nil
 }
 
 // Counts returns what it did so far.
 func (s *Server) Counts() Counts { return s.counts }
 
-// Held returns how many exchanges are open and how many are remembered in all.
-func (s *Server) Held() (open, kept int) { return s.open, len(s.byKey) }
+// Occupancy returns how many exchanges are open and how many are remembered in all.
+func (s *Server) Occupancy() (open, kept int) { return s.open, len(s.byKey) }
 
 func (s *Server) send(peer Peer, datagram []byte) {
 	s.counts.Sent++
@@ -145,9 +145,9 @@
 	return s.done()
 }
 
-// Malformed takes a datagram that is no well-formed message: a confirmable one
+// ReceiveMalformed takes a datagram that is no well-formed message: a confirmable one
 // is rejected (section 4.2), anything else ignored.
-func (s *Server) Malformed(peer Peer, m *message.Message, err error, acts []Action) []Action {
+func (s *Server) ReceiveMalformed(peer Peer, m *message.Message, err error, acts []Action) []Action {
 	s.acts = acts
 	s.counts.Received++
 	if !errors.Is(err, message.ErrNotCoAP) && m.Type == message.Confirmable {
@@ -186,21 +186,21 @@
 	s.unacked--
 }
 
-// Unacked is how many answers are still sent again until they are acknowledged, or
+// UnacknowledgedResponses is how many answers are still sent again until they are acknowledged, or
 // nobody is believed to be there.
-func (s *Server) Unacked() int { return s.unacked }
+func (s *Server) UnacknowledgedResponses() int { return s.unacked }
 
-// ErrNotes is a notification for which there is no room.
-var ErrNotes = errors.New("exchange: too many notifications are out")
+// ErrTooManyNotifications is a notification for which there is no room.
+var ErrTooManyNotifications = errors.New("exchange: too many notifications are out")
 
 // Notify sends a confirmable message of its own to a client, under the token of
 // an observation (RFC 7641, section 4.2). It returns the name under which a
 // Reset, or that nobody takes it, is told as Canceled.
 func (s *Server) Notify(now time.Duration, peer Peer, token []byte, m message.Message, acts []Action) ([]Action, uint64, error) {
 	s.acts = acts
-	if s.notes >= s.lim.Open {
-		s.counts.TurnedAway++
-		return s.done(), 0, ErrNotes
+	if s.notes >= s.lim.MaxPendingRequests {
+		s.counts.CapacityRejections++
+		return s.done(), 0, ErrTooManyNotifications
 	}
 	m.Type, m.ID, m.Token = message.Confirmable, s.nextID(peer), token
 	text, err := m.Append(nil)
@@ -216,8 +216,8 @@
 	return s.done(), x.handle, nil
 }
 
-// Pending tells whether a notification waits for its acknowledgement.
-func (s *Server) Pending(handle uint64) bool {
+// NotificationPending tells whether a notification waits for its acknowledgement.
+func (s *Server) NotificationPending(handle uint64) bool {
 	x := s.handle[handle]
 	return x != nil && x.sending
 }
@@ -246,18 +246,18 @@
 		return
 	}
 	if len(s.elsewhere) > 0 && s.elsewhere[s.old.hash(k)] {
-		s.counts.DedupHits++
+		s.counts.Duplicates++
 		return
 	}
 	if s.old.has(now, k) {
-		s.counts.DedupHits++
+		s.counts.Duplicates++
 		if m.Type == message.Confirmable {
 			s.overdue(peer, m.ID, m.Token)
 		}
 		return
 	}
 	unsafe := m.Code != message.GET && m.Code != message.FETCH
-	if s.open >= s.lim.Open || len(s.byKey) >= s.lim.Kept && !s.forget(now) {
+	if s.open >= s.lim.MaxPendingRequests || len(s.byKey) >= s.lim.MaxDedupEntries && !s.forget(now) {
 		s.full(peer, m, unsafe)
 		return
 	}
@@ -266,7 +266,7 @@
 	s.byKey[k], s.handle[x.handle] = x, x
 	s.open++
 	if x.confirm {
-		s.plan(x, now+s.p.AckAfter)
+		s.plan(x, now+s.p.AckDelay)
 	}
 	s.acts = append(s.acts, Action{Kind: Deliver, Peer: peer, Handle: x.handle, Message: clone(m)})
 }
@@ -276,7 +276,7 @@
 // which the network may hold already, may be taken later, and the answer would
 // have been untrue.
 func (s *Server) full(peer Peer, m *message.Message, unsafe bool) {
-	s.counts.TurnedAway++
+	s.counts.CapacityRejections++
 	if unsafe {
 		return
 	}
@@ -294,7 +294,7 @@
 // again, or keeps no more than a hash of the oldest other one.
 func (s *Server) forget(now time.Duration) bool {
 	if x := s.kept[0].first; x != nil {
-		s.counts.Forgotten++
+		s.counts.Evicted++
 		s.drop(x)
 		return true
 	}
@@ -309,14 +309,14 @@
 	if x == nil || x.sending || !s.old.add(now, x.key, x.born+s.lifetime(x)) {
 		return false
 	}
-	s.counts.Settled++
+	s.counts.Compacted++
 	s.drop(x)
 	return true
 }
 
 // repeat answers a repeat of a request from memory.
 func (s *Server) repeat(x *serverExchange) {
-	s.counts.DedupHits++
+	s.counts.Duplicates++
 	switch {
 	case !x.confirm:
 		// The answer to a non-confirmable request is not sent again.
@@ -352,17 +352,17 @@
 	return s.ids
 }
 
-// Answer gives the answer to a request: its type, ID and token are filled in. An
+// Respond gives the answer to a request: its type, ID and token are filled in. An
 // error means that it can't be written as a message; the exchange stays open
 // then.
-func (s *Server) Answer(now time.Duration, handle uint64, r message.Message, acts []Action) ([]Action, error) {
-	return s.AnswerWithin(now, handle, r, 0, acts)
+func (s *Server) Respond(now time.Duration, handle uint64, r message.Message, acts []Action) ([]Action, error) {
+	return s.RespondWithin(now, handle, r, 0, acts)
 }
 
-// AnswerWithin is Answer with a bound on the bytes of all transmissions of the
+// RespondWithin is Answer with a bound on the bytes of all transmissions of the
 // answer together, for a client whose address may be forged (RFC 9175, section
 // 2.4); 0 for none. It is sent at least once.
-func (s *Server) AnswerWithin(now time.Duration, handle uint64, r message.Message, bytes int, acts []Action) ([]Action, error) {
+func (s *Server) RespondWithin(now time.Duration, handle uint64, r message.Message, bytes int, acts []Action) ([]Action, error) {
 	s.acts = acts
 	x := s.handle[handle]
 	if x == nil || x.answered || x.note {
@@ -410,7 +410,7 @@
 
 // keep remembers an answer for repeats, if there is room for it.
 func (s *Server) keep(x *serverExchange, text []byte) {
-	if x.separate || s.bytes+len(text) > s.lim.KeptBytes {
+	if x.separate || s.bytes+len(text) > s.lim.MaxDedupBytes {
 		return
 	}
 	x.datagram = text
@@ -457,7 +457,7 @@
 			s.acts = append(s.acts, Action{Kind: Canceled, Handle: x.handle, Peer: x.peer})
 			s.dropNote(x)
 		case x.note:
-			s.counts.Retransmits++
+			s.counts.Retransmissions++
 			s.send(x.peer, x.tx.datagram)
 			s.plan(x, x.tx.due)
 		case !x.answered && !x.acked:
@@ -466,7 +466,7 @@
 			// An open exchange is the caller's to answer; it is not forgotten.
 			s.timers.cancel(&x.timer)
 		case x.sending && x.tx.again(&s.p):
-			s.counts.Retransmits++
+			s.counts.Retransmissions++
 			s.send(x.peer, x.tx.datagram)
 			s.plan(x, x.tx.due)
 		case x.sending:
--- a/internal/coap/exchange/settled_test.go
+++ b/internal/coap/exchange/settled_test.go
@@ -53,7 +53,7 @@
 // repeated though thousands came after it, and a new one is turned away only
 // when the bound is reached.
 func TestSettledExchangesAreNotRunAgain(t *testing.T) {
-	s, err := NewServer(Defaults(), Limits{Open: 8, Kept: 16, KeptBytes: 1 << 10, Settled: 5000}, 1)
+	s, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 8, MaxDedupEntries: 16, MaxDedupBytes: 1 << 10, MaxCompletedUnsafe: 5000}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		for _, a := range acts {
 			if a.Kind == Deliver {
 				ran++
-				s.Answer(now, a.Handle, message.Message{Code: message.Changed, Payload: []byte("done")}, nil)
+				s.Respond(now, a.Handle, message.Message{Code: message.Changed, Payload: []byte("done")}, nil)
 			}
 		}
 		if len(acts) == 0 {
@@ -82,7 +82,7 @@
 	if len(acts) != 1 || acts[0].Kind != Send || message.Code(acts[0].Datagram[1]) != message.BadGateway || string(acts[0].Datagram[4:5]) != "t" {
 		t.Errorf("a repeat of the first: %+v", acts)
 	}
-	p := Defaults()
+	p := DefaultParams()
 	s.Tick(3*p.ExchangeLifetime(), nil)
 	if ask(3*p.ExchangeLifetime(), 0); ran != 5017 {
 		t.Error("after its lifetime it is still taken for a repeat")
@@ -112,10 +112,10 @@
 		return s
 	})
 	whole := size(func() any {
-		s, _ := NewServer(Defaults(), Limits{Open: 1, Kept: 100_000}, 1)
+		s, _ := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 1, MaxDedupEntries: 100_000}, 1)
 		for n := range 50_000 {
 			acts := s.Receive(0, at(n).peer, &message.Message{Type: message.Confirmable, Code: message.POST, ID: uint16(n)}, nil)
-			s.Answer(0, acts[0].Handle, message.Message{Code: message.Changed}, nil)
+			s.Respond(0, acts[0].Handle, message.Message{Code: message.Changed}, nil)
 		}
 		return s
 	})
--- a/internal/coap/exchange/wire_test.go
+++ b/internal/coap/exchange/wire_test.go
@@ -32,7 +32,7 @@
 		w.run(10 * time.Minute)
 		for h := uint64(1); h <= 12; h++ {
 			for _, end := range w.ends[h] {
-				fmt.Fprintf(&list, "request %d kind=%d why=%d sent=%d acked=%v\n", h, end.Kind, end.Why, end.Sent, end.Acked)
+				fmt.Fprintf(&list, "request %d kind=%d why=%d sent=%d acked=%v\n", h, end.Kind, end.Reason, end.Transmissions, end.Acknowledged)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 // process of an earlier version left it, and writes it: both have the same bytes but
 // for the order of the entries.
 func TestTableOfAnEarlierVersion(t *testing.T) {
-	first, err := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 1)
+	first, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 			if a.Kind != Deliver || !answered {
 				continue
 			}
-			if _, err := s.Answer(now, a.Handle, message.Message{Code: message.Changed}, nil); err != nil {
+			if _, err := s.Respond(now, a.Handle, message.Message{Code: message.Changed}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -61,7 +61,7 @@
 	for id := range uint16(6) {
 		fill(first, time.Duration(id)*time.Second, id, true)
 	}
-	written := first.Carry(10 * time.Second)
+	written := first.ExportTable(10 * time.Second)
 	compareWithFile(t, "testdata/table.txt", tableLines(t, written))
 
 	text, err := os.ReadFile("testdata/table.hex")
@@ -75,14 +75,14 @@
 	if got, want := tableLines(t, written), tableLines(t, stored); got != want {
 		t.Errorf("written\n%sstored\n%s", got, want)
 	}
-	next, err := NewServer(Defaults(), Limits{Open: 4, Kept: 4, Settled: 100}, 2)
+	next, err := NewServer(DefaultParams(), ServerLimits{MaxPendingRequests: 4, MaxDedupEntries: 4, MaxCompletedUnsafe: 100}, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := next.Continue(0, time.Second, stored, false); err != nil {
+	if err := next.ImportTable(0, time.Second, stored, false); err != nil {
 		t.Fatal(err)
 	}
-	compareWithFile(t, "testdata/table-next.txt", tableLines(t, next.Carry(0)))
+	compareWithFile(t, "testdata/table-next.txt", tableLines(t, next.ExportTable(0)))
 }
 
 // tableLines formats a table with its entries sorted.
--- a/internal/coap/gate/gate.go
+++ b/internal/coap/gate/gate.go
@@ -67,7 +67,7 @@
 // Settings are a gate's bounds.
 type Settings struct {
 	Params  exchange.Params
-	Limits  exchange.Limits
+	Limits  exchange.ServerLimits
 	Blocks  block.Limits
 	Classes map[string]Class
 	// DeadlineTimes bounds a request's own deadline, as a multiple of its class's.
@@ -135,7 +135,7 @@
 	NotRun              // a call server's: turned away, and surely not run
 )
 
-// Answer is what the decision module answers.
+// Respond is what the decision module answers.
 type Answer struct {
 	Outcome       Outcome
 	Wait          time.Duration // with a refusal: when to come again; 0 for no advice
@@ -143,7 +143,7 @@
 	ContentFormat int // -1 for none
 }
 
-// Kind says what an action is.
+// ActionKind says what an action is.
 type Kind int
 
 // The kinds of action.
@@ -239,35 +239,35 @@
 	return c
 }
 
-// Open is how many requests have no answer yet.
+// MaxPendingRequests is how many requests have no answer yet.
 func (g *Gate) Open() int { return len(g.asked) }
 
-// Unacked is how many answers wait for their acknowledgement, and go again without.
-func (g *Gate) Unacked() int { return g.ex.Unacked() }
+// UnacknowledgedResponses is how many answers wait for their acknowledgement, and go again without.
+func (g *Gate) Unacked() int { return g.ex.UnacknowledgedResponses() }
 
 // Drain turns away what is new from now on; what is open is answered.
 func (g *Gate) Drain() { g.draining = true }
 
-// Carry writes what a later process has to know, and for how long that one has to
+// ExportTable writes what a later process has to know, and for how long that one has to
 // wait for what this one had to wait for.
 func (g *Gate) Carry(now time.Duration) (text []byte, cleanIn time.Duration) {
 	g.began(now)
-	return g.ex.Carry(now), max(0, g.cleanAt-now)
+	return g.ex.ExportTable(now), max(0, g.cleanAt-now)
 }
 
 // HandleResponse takes what an earlier process wrote, age ago, before anything was
 // received: from then on nothing is unknown but what was so there, for cleanIn more.
 // draining says that it still answers what it has open, until Alone.
 func (g *Gate) Continue(now, age time.Duration, text []byte, cleanIn time.Duration, draining bool) error {
-	if err := g.ex.Continue(now, age, text, draining); err != nil {
+	if err := g.ex.ImportTable(now, age, text, draining); err != nil {
 		return err
 	}
 	g.begun, g.cleanAt = true, now+max(0, cleanIn-age)
 	return nil
 }
 
-// Alone says that the process before has ended.
-func (g *Gate) Alone() { g.ex.Alone() }
+// PredecessorEnded says that the process before has ended.
+func (g *Gate) Alone() { g.ex.PredecessorEnded() }
 
 // Distrust says that another process has taken requests that this one knows
 // nothing of, until now.
@@ -314,7 +314,7 @@
 	g.acts = acts
 	var m message.Message
 	if err := message.Decode(datagram, &m); err != nil {
-		g.carry(now, g.ex.Malformed(peer, &m, err, nil), len(datagram))
+		g.carry(now, g.ex.ReceiveMalformed(peer, &m, err, nil), len(datagram))
 		return g.done()
 	}
 	sent := g.ex.Receive(now, peer, &m, nil)
@@ -495,7 +495,7 @@
 	return slices.ContainsFunc(g.set.Trusted, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// Answer takes the answer to a request.
+// Respond takes the answer to a request.
 func (g *Gate) Answer(now time.Duration, handle uint64, a Answer, acts []Action) []Action {
 	g.began(now)
 	g.acts = acts
@@ -579,9 +579,9 @@
 		most = spread*x.bytes - emptyBytes
 		m = g.bounded(now, x, m, most)
 	}
-	acts, err := g.ex.AnswerWithin(now, x.handle, m, most, nil)
+	acts, err := g.ex.RespondWithin(now, x.handle, m, most, nil)
 	if err != nil {
-		acts, _ = g.ex.Answer(now, x.handle, message.Message{Code: message.InternalServerError}, nil)
+		acts, _ = g.ex.Respond(now, x.handle, message.Message{Code: message.InternalServerError}, nil)
 	}
 	g.carry(now, acts, 0)
 }
--- a/internal/coap/gate/gate_test.go
+++ b/internal/coap/gate/gate_test.go
@@ -24,7 +24,7 @@
 
 func settings() Settings {
 	return Settings{
-		Params: exchange.Defaults(), Limits: exchange.Limits{Open: 100, Kept: 1000, KeptBytes: 1 << 20},
+		Params: exchange.DefaultParams(), Limits: exchange.ServerLimits{MaxPendingRequests: 100, MaxDedupEntries: 1000, MaxDedupBytes: 1 << 20},
 		Blocks: block.Limits{MaxTransfers: 10, MaxBodySize: 64 << 10, MaxTotalSize: 256 << 10, IdleTimeout: 30 * time.Second, MaxBlockSize: 1024},
 		Classes: map[string]Class{
 			"roster": {Repeat, 500 * time.Millisecond}, "join": {Keyed, 2 * time.Second}, "start-rec": {Once, 1200 * time.Millisecond},
@@ -453,7 +453,7 @@
 		if g.Open()+g.Unacked() != 0 {
 			t.Fatalf("%d are open, %d not acknowledged", g.Open(), g.Unacked())
 		}
-		if open, kept := g.ex.Held(); open != 0 || kept != 0 {
+		if open, kept := g.ex.Occupancy(); open != 0 || kept != 0 {
 			t.Fatalf("%d open, %d kept", open, kept)
 		}
 	})
@@ -480,11 +480,11 @@
 			served++
 			g.Answer(at, r.Handle, Answer{Outcome: Served, Body: []byte("x")}, nil)
 		}
-		if open, kept := g.ex.Held(); open > 100 || kept > 1000 {
+		if open, kept := g.ex.Occupancy(); open > 100 || kept > 1000 {
 			t.Fatalf("%d open, %d kept", open, kept)
 		}
 	}
-	if c := g.Counts(); c.TurnedAway == 0 || served < 1000 {
+	if c := g.Counts(); c.CapacityRejections == 0 || served < 1000 {
 		t.Errorf("%d served, %+v", served, c)
 	}
 	if asks, sent := split(t, g.Receive(2*time.Second, near, first, nil)); len(asks) != 0 || len(sent) != 1 {
--- a/internal/coap/gate/observe.go
+++ b/internal/coap/gate/observe.go
@@ -156,7 +156,7 @@
 	}
 	// While a notification waits for its acknowledgement no other goes out: the
 	// next asking has what is newest (section 4.5.2).
-	if o.note != 0 && g.ex.Pending(o.note) {
+	if o.note != 0 && g.ex.NotificationPending(o.note) {
 		return
 	}
 	m := g.worded(x, a)
--- a/internal/coapfront/front.go
+++ b/internal/coapfront/front.go
@@ -119,7 +119,7 @@
 		life: l, conn: conn, eng: eng, bodies: set.Bodies, start: time.Now(), gate: g, open: map[uint64]*request{},
 		// Not of the configuration's seed: a process that starts with the same one
 		// again would make the same ids again.
-		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), answered: make(chan *request, set.Gate.Limits.Open+set.Gate.Observers), ended: make(chan struct{}),
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), answered: make(chan *request, set.Gate.Limits.MaxPendingRequests+set.Gate.Observers), ended: make(chan struct{}),
 		reads: make(chan struct{}, 1),
 	}
 	if set.Conn == nil {
@@ -171,7 +171,7 @@
 	return f.gate.Counts(), f.unsent.Load()
 }
 
-// Open is how many requests have no answer yet, and how many answers may have to go
+// MaxPendingRequests is how many requests have no answer yet, and how many answers may have to go
 // again, for nobody has acknowledged them: the process after this one would not send
 // them. Where another process has the socket it reads the acknowledgements, and
 // there are none to wait for.
@@ -270,7 +270,7 @@
 	f.resume()
 }
 
-// Alone says that the process before has ended: what it had open and has not
+// PredecessorEnded says that the process before has ended: what it had open and has not
 // answered is nobody's.
 func (f *Front) Alone() {
 	f.Inherit(nil)
--- a/internal/coapfront/front_test.go
+++ b/internal/coapfront/front_test.go
@@ -75,10 +75,10 @@
 		t.Fatal(err)
 	}
 	eng.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 1, Snapshot: true, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s1", State: balance.Ready}, Address: "127.0.0.1:1"}}}, 0)
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter = 200*time.Millisecond, 50*time.Millisecond
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay = 200*time.Millisecond, 50*time.Millisecond
 	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Gate: gate.Settings{
-		Params: p, Limits: exchange.Limits{Open: 256, Kept: 4096, KeptBytes: 1 << 20},
+		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: 256, MaxDedupEntries: 4096, MaxDedupBytes: 1 << 20},
 		Blocks:  block.Limits{MaxTransfers: 16, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: patience, MaxBlockSize: 1024},
 		Classes: map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: gate.Once, Deadline: 30 * time.Second}},
 
@@ -100,8 +100,8 @@
 
 func dial(t *testing.T, to string, change func(*coapclient.Config)) *coapclient.Client {
 	t.Helper()
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter, p.NStart = 200*time.Millisecond, 50*time.Millisecond, 64
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay, p.NStart = 200*time.Millisecond, 50*time.Millisecond, 64
 	cfg := coapclient.Config{Server: to, Params: p, Seed: rand.Uint64()}
 	if change != nil {
 		change(&cfg)
@@ -182,8 +182,8 @@
 	}
 	c, _ := f.Counts()
 	t.Logf("%d lost, %+v", lost, c)
-	if lost > 20 || c.DedupHits == 0 {
-		t.Errorf("%d of 100 without an answer, %d repeats met", lost, c.DedupHits)
+	if lost > 20 || c.Duplicates == 0 {
+		t.Errorf("%d of 100 without an answer, %d repeats met", lost, c.Duplicates)
 	}
 	if n := openOf(f); n != 0 {
 		t.Errorf("%d are open", n)
--- a/internal/coapfront/note.go
+++ b/internal/coapfront/note.go
@@ -84,7 +84,7 @@
 // readNote reads a note of this start of the machine.
 func readNote(text []byte) (*note, error) {
 	rest, ok := bytes.CutPrefix(text, []byte(noteHead))
-	if !ok || len(rest) < sha256.Size || len(text) > exchange.MostCarried {
+	if !ok || len(rest) < sha256.Size || len(text) > exchange.MaxTableSize {
 		return nil, fmt.Errorf("found %d bytes that are no note of version 1", len(text))
 	}
 	body, sum := rest[:len(rest)-sha256.Size], rest[len(rest)-sha256.Size:]
--- a/internal/coapfront/settings.go
+++ b/internal/coapfront/settings.go
@@ -28,11 +28,11 @@
 
 // ServersFromOperator are the settings for call servers over CoAP.
 func ServersFromOperator(o *operatorconfig.CoAP, seed uint64) caller.Settings {
-	p := exchange.Defaults()
+	p := exchange.DefaultParams()
 	p.AckTimeout = o.AckTimeout
-	p.AckAfter = p.AckTimeout / 4
+	p.AckDelay = p.AckTimeout / 4
 	return caller.Settings{
-		Params: p, Limits: exchange.ClientLimits{Open: mostOut, Heard: mostOut}, Body: dispatch.MaxBodySize, Block: 1024, EchoFor: echoFor, Seed: seed ^ 0x636c6e74,
+		Params: p, Limits: exchange.ClientLimits{MaxInFlight: mostOut, MaxDedupEntries: mostOut}, Body: dispatch.MaxBodySize, Block: 1024, EchoFor: echoFor, Seed: seed ^ 0x636c6e74,
 	}
 }
 
@@ -52,8 +52,8 @@
 		trusted = append(trusted, n.Prefix)
 	}
 	return Settings{Listen: o.Listen, Bodies: bodies, State: o.StatePath, Gate: gate.Settings{
-		Params:  exchange.Defaults(),
-		Limits:  exchange.Limits{Open: o.MaxPendingRequests, Kept: o.MaxDedupEntries, KeptBytes: int(o.MaxDedupBytes), Settled: o.MaxCompletedUnsafe},
+		Params:  exchange.DefaultParams(),
+		Limits:  exchange.ServerLimits{MaxPendingRequests: o.MaxPendingRequests, MaxDedupEntries: o.MaxDedupEntries, MaxDedupBytes: int(o.MaxDedupBytes), MaxCompletedUnsafe: o.MaxCompletedUnsafe},
 		Blocks:  block.Limits{MaxTransfers: o.MaxTransfers, MaxBodySize: dispatch.MaxBodySize, MaxTotalSize: int(o.MaxTransferBytes), IdleTimeout: blockIdle, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: deadlineTimes, Observers: o.MaxObservers, ObserveEvery: o.ObserveInterval,
 		Trusted: trusted, Clean: o.FirstRun, EchoKey: key, EchoAge: echoAge, Seed: seed ^ 0x636f6170,
--- a/internal/coapupstream/pool.go
+++ b/internal/coapupstream/pool.go
@@ -34,11 +34,11 @@
 func New(set caller.Settings, most int) *Pool {
 	// What the dispatcher sends goes out at once: the decision module bounds a
 	// server's load, and a request that waited here would not be seen by it.
-	set.Params.NStart = set.Limits.Open
+	set.Params.NStart = set.Limits.MaxInFlight
 	return &Pool{set: set, most: most}
 }
 
-// Open is the dispatcher's way to a call server. Nothing is opened yet.
+// MaxPendingRequests is the dispatcher's way to a call server. Nothing is opened yet.
 func (p *Pool) Open(addr string, _ int64) dispatch.Upstream {
 	return &host{pool: p, addr: addr}
 }
--- a/internal/coapupstream/pool_test.go
+++ b/internal/coapupstream/pool_test.go
@@ -99,9 +99,9 @@
 }
 
 func newPool(most int) *Pool {
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter = 100*time.Millisecond, 25*time.Millisecond
-	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{Open: 64, Heard: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, most)
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay = 100*time.Millisecond, 25*time.Millisecond
+	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{MaxInFlight: 64, MaxDedupEntries: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, most)
 }
 
 // How each kind of server ends what must not run twice: it is refused as harmless
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -49,10 +49,10 @@
 	for name, c := range s.classes {
 		classes[name] = gate.Class{Effect: effects[c.Effect], Deadline: time.Hour}
 	}
-	p := exchange.Defaults()
-	p.AckAfter = 20 * time.Millisecond
+	p := exchange.DefaultParams()
+	p.AckDelay = 20 * time.Millisecond
 	g, err := gate.New(gate.Settings{
-		Params: p, Limits: exchange.Limits{Open: s.cfg.Queue + 1000, Kept: 1 << 20, KeptBytes: 64 << 20},
+		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: s.cfg.Queue + 1000, MaxDedupEntries: 1 << 20, MaxDedupBytes: 64 << 20},
 		Blocks:  block.Limits{MaxTransfers: 1000, MaxBodySize: 64 << 10, MaxTotalSize: 64 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: 1, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, Demand: s.cfg.Echo, EchoKey: key, EchoAge: echoAge,
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// DedupHits is how many repeats over CoAP this life has met.
+// Duplicates is how many repeats over CoAP this life has met.
 func (s *Server) DedupHits() int {
 	s.mu.Lock()
 	c := s.coap
@@ -84,7 +84,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.Counts().DedupHits
+	return c.gate.Counts().Duplicates
 }
 
 // crashCoAP ends the present life over CoAP: what it held is forgotten, and what
--- a/internal/lab/standin/clients/coap.go
+++ b/internal/lab/standin/clients/coap.go
@@ -22,10 +22,10 @@
 	if n == 0 {
 		n = 8
 	}
-	p := exchange.Defaults()
+	p := exchange.DefaultParams()
 	// The devices are next door, and wait for well under a second: they repeat
 	// sooner than on the open Internet (RFC 7252, section 4.8.1).
-	p.AckTimeout, p.AckAfter, p.NStart = 100*time.Millisecond, 25*time.Millisecond, 256
+	p.AckTimeout, p.AckDelay, p.NStart = 100*time.Millisecond, 25*time.Millisecond, 256
 	for i := range n {
 		d, err := coapclient.Dial(coapclient.Config{Server: c.cfg.CoAP, Params: p, NoEcho: c.cfg.NoEcho, Seed: c.cfg.Seed + uint64(i)*7919})
 		if err != nil {
@@ -42,11 +42,11 @@
 	}
 }
 
-// Retransmits is how many datagrams were sent again by clients over CoAP.
+// Retransmissions is how many datagrams were sent again by clients over CoAP.
 func (c *Clients) Retransmits() int {
 	n := 0
 	for _, d := range c.devices {
-		n += d.Counts().Retransmits
+		n += d.Counts().Retransmissions
 	}
 	return n
 }
--- a/internal/lab/standin/coapclient/coapclient.go
+++ b/internal/lab/standin/coapclient/coapclient.go
@@ -55,7 +55,7 @@
 		cfg.Local = "127.0.0.1:0"
 	}
 	if cfg.Params.AckTimeout == 0 {
-		cfg.Params = exchange.Defaults()
+		cfg.Params = exchange.DefaultParams()
 		cfg.Params.NStart = 64
 	}
 	if cfg.Block == 0 {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x, err := exchange.NewClient(cfg.Params, exchange.ClientLimits{Open: 4096, Heard: 4096}, cfg.Seed)
+	x, err := exchange.NewClient(cfg.Params, exchange.ClientLimits{MaxInFlight: 4096, MaxDedupEntries: 4096}, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 		m.Options = append([]message.Option(nil), m.Options...)
 		m.Add(message.Echo, c.echo)
 	}
-	acts, ok := c.x.Ask(c.now(), handle, c.server, m, false, nil)
+	acts, ok := c.x.Request(c.now(), handle, c.server, m, false, nil)
 	c.carry(acts)
 	if !ok {
 		delete(c.waiting, handle)
