--- a/internal/coap/block/block.go
+++ b/internal/coap/block/block.go
@@ -14,10 +14,10 @@
 // Limits bound what is held for transfers under way.
 type Limits struct {
 	MaxTransfers int           // at a time
-	MaxBodySize      int           // bytes of one body
-	MaxTotalSize     int           // bytes of all
-	IdleTimeout      time.Duration // a transfer that pauses this long is given up
-	MaxBlockSize      int           // largest block that is sent or asked for: 16 to 1,024
+	MaxBodySize  int           // bytes of one body
+	MaxTotalSize int           // bytes of all
+	IdleTimeout  time.Duration // a transfer that pauses this long is given up
+	MaxBlockSize int           // largest block that is sent or asked for: 16 to 1,024
 }
 
 func (l *Limits) validate() error {
@@ -63,8 +63,8 @@
 	byKey       map[string]*transfer
 	first, last *transfer
 	bytes       int
-	Rejected  int
-	Abandoned     int
+	Rejected    int
+	Abandoned   int
 }
 
 func newTable(lim Limits) (*table, error) {
@@ -154,10 +154,10 @@
 
 // Progress is what became of a request with a Block1 option.
 type Progress struct {
-	Complete bool          // Body is the whole body: the request is to be run
-	Body  []byte        // not shared with anything that is kept
-	Code  message.Code  // else the answer's code
-	Block message.Block // to go into the answer; of the last block, too
+	Complete    bool          // Body is the whole body: the request is to be run
+	Body        []byte        // not shared with anything that is kept
+	Code        message.Code  // else the answer's code
+	Block       message.Block // to go into the answer; of the last block, too
 	MaxBodySize int           // with 4.13: the most that is taken; else 0
 }
 
@@ -311,10 +311,10 @@
 
 // Errors of transfers.
 var (
-	ErrUnexpectedBlock  = errors.New("block: an answer with another block than the one that was asked for")
-	ErrBodyTooLarge   = errors.New("block: a body over its bound")
-	ErrBodyChanged   = errors.New("block: the body changed between blocks")
-	ErrMalformedBlock = errors.New("block: a block that is not full, or of the reserved size")
+	ErrUnexpectedBlock = errors.New("block: an answer with another block than the one that was asked for")
+	ErrBodyTooLarge    = errors.New("block: a body over its bound")
+	ErrBodyChanged     = errors.New("block: the body changed between blocks")
+	ErrMalformedBlock  = errors.New("block: a block that is not full, or of the reserved size")
 )
 
 // HandleResponse takes the answer to the block that is out. It returns true where the
--- a/internal/coap/echo/echo.go
+++ b/internal/coap/echo/echo.go
@@ -29,8 +29,8 @@
 
 // The verdicts.
 const (
-	Fresh Verdict = iota // of this life, young enough, and from that endpoint
-	Expired                  // of this life and endpoint, and too old
+	Fresh   Verdict = iota // of this life, young enough, and from that endpoint
+	Expired                // of this life and endpoint, and too old
 	Invalid                // of another life, key or endpoint, or not a value at all
 )
 
--- a/internal/coap/exchange/client.go
+++ b/internal/coap/exchange/client.go
@@ -12,7 +12,7 @@
 
 // ClientLimits bound what a Client holds.
 type ClientLimits struct {
-	MaxInFlight  int // requests that have no answer yet, waiting ones among them
+	MaxInFlight     int // requests that have no answer yet, waiting ones among them
 	MaxDedupEntries int // answers of their own that are remembered, to acknowledge repeats
 }
 
--- a/internal/coap/exchange/params.go
+++ b/internal/coap/exchange/params.go
@@ -90,10 +90,10 @@
 // The kinds of action.
 const (
 	Send     ActionKind = iota // send Datagram to Peer
-	Deliver              // Server: a new request, Message, named Handle
-	Response             // Client: the answer, Message, to Handle
-	Failed               // Client: Handle ended without an answer, as Why says
-	Canceled             // Server: the client has rejected the answer to Handle
+	Deliver                    // Server: a new request, Message, named Handle
+	Response                   // Client: the answer, Message, to Handle
+	Failed                     // Client: Handle ended without an answer, as Why says
+	Canceled                   // Server: the client has rejected the answer to Handle
 )
 
 // Reason is how a request ended without an answer.
@@ -101,9 +101,9 @@
 
 // The ways.
 const (
-	Rejected FailureReason = iota // a Reset came
-	TimedOut                // nothing came, or nothing behind an acknowledgement
-	Unreachable             // the network said that nobody is there
+	Rejected    FailureReason = iota // a Reset came
+	TimedOut                         // nothing came, or nothing behind an acknowledgement
+	Unreachable                      // the network said that nobody is there
 )
 
 // Action is one thing for the caller to do, in the order given.
@@ -113,12 +113,12 @@
 	Datagram []byte
 	Message  message.Message
 	Handle   uint64
-	Reason      FailureReason
+	Reason   FailureReason
 	// Of a request that ended: how often it was sent, and whether an empty
 	// acknowledgement had come. With Sent 1 and no acknowledgement a Reset
 	// proves that the request was not taken.
-	Transmissions  int
-	Acknowledged bool
+	Transmissions int
+	Acknowledged  bool
 }
 
 // transmission is a confirmable message that waits for its acknowledgement.
@@ -149,14 +149,14 @@
 
 // Counts are what a side did, for operators.
 type Counts struct {
-	Received, Sent int
+	Received, Sent     int
 	Retransmissions    int
-	Duplicates      int // repeats that were answered from memory, or not at all
-	Dropped        int // could not be answered or matched
-	CapacityRejections     int // for want of room
-	Evicted      int // finished exchanges given up early, all of them safe to repeat
-	Compacted        int // others of which only a hash was kept
-	Resets         int // that came
+	Duplicates         int // repeats that were answered from memory, or not at all
+	Dropped            int // could not be answered or matched
+	CapacityRejections int // for want of room
+	Evicted            int // finished exchanges given up early, all of them safe to repeat
+	Compacted          int // others of which only a hash was kept
+	Resets             int // that came
 }
 
 // plain is a message without options or payload.
--- a/internal/coap/exchange/server.go
+++ b/internal/coap/exchange/server.go
@@ -11,9 +11,9 @@
 
 // ServerLimits bound what a Server holds.
 type ServerLimits struct {
-	MaxPendingRequests      int // exchanges that are not answered yet
-	MaxDedupEntries      int // exchanges remembered against repeats, the open ones among them
-	MaxDedupBytes int // of answers remembered with them
+	MaxPendingRequests int // exchanges that are not answered yet
+	MaxDedupEntries    int // exchanges remembered against repeats, the open ones among them
+	MaxDedupBytes      int // of answers remembered with them
 	// MaxCompletedUnsafe bounds those of which nothing but a hash is remembered, once Kept has
 	// no room: a repeat of one is told that it may have run. 0 for none.
 	MaxCompletedUnsafe int
--- a/internal/coap/message/message.go
+++ b/internal/coap/message/message.go
@@ -26,15 +26,15 @@
 
 // Bounds of a message.
 const (
-	MaxTokenSize   = 8 // bytes (RFC 7252, section 3)
-	MaxOptions = 64
+	MaxTokenSize = 8 // bytes (RFC 7252, section 3)
+	MaxOptions   = 64
 	// MaxDatagramSize is the largest datagram that is read: a block of 1,024 bytes
 	// with its options, with room to spare. RFC 7252, section 4.6, bounds a
 	// message at 1,152 bytes where nothing else is known.
 	MaxDatagramSize = 2048
-	headerBytes  = 4
-	version      = 1
-	marker       = 0xff
+	headerBytes     = 4
+	version         = 1
+	marker          = 0xff
 )
 
 // Option is one option of a message.
@@ -60,16 +60,16 @@
 // (section 4.2), a non-confirmable one may be ignored (section 4.3). Decode
 // returns type and ID with those.
 var (
-	ErrNotCoAP  = errors.New("coap: not a message of version 1")
+	ErrNotCoAP        = errors.New("coap: not a message of version 1")
 	ErrTokenLength    = errors.New("coap: token of 9 to 15 bytes")
-	ErrTruncated    = errors.New("coap: ends within a token or an option")
+	ErrTruncated      = errors.New("coap: ends within a token or an option")
 	ErrReservedLength = errors.New("coap: reserved option delta or length")
 	ErrOptionNumber   = errors.New("coap: option number over 65535")
-	ErrTooManyOptions  = errors.New("coap: too many options")
-	ErrMissingPayload  = errors.New("coap: payload marker without a payload")
-	ErrNonEmpty    = errors.New("coap: empty message with more than a header")
-	ErrReservedClass    = errors.New("coap: code of a reserved class")
-	ErrTooLarge     = errors.New("coap: datagram too long")
+	ErrTooManyOptions = errors.New("coap: too many options")
+	ErrMissingPayload = errors.New("coap: payload marker without a payload")
+	ErrNonEmpty       = errors.New("coap: empty message with more than a header")
+	ErrReservedClass  = errors.New("coap: code of a reserved class")
+	ErrTooLarge       = errors.New("coap: datagram too long")
 )
 
 // Decode reads a datagram into m, reusing m's options. The message shares the
