--- a/internal/coap/message/code.go
+++ b/internal/coap/message/code.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Code is a method or a response code: class in the upper 3 bits, detail in the
-// lower 5 (RFC 7252, section 3 and 12.1).
+// Code is a method or a response code: the class in the upper 3 bits, the detail in
+// the lower 5 (RFC 7252, sections 3 and 12.1).
 type Code uint8
 
 // Codes of RFC 7252, RFC 7959 (4.08), RFC 8132 (FETCH, PATCH, iPATCH, 4.09,
@@ -49,17 +49,18 @@
 	HopLimitReached      Code = 5<<5 | 8
 )
 
-// Class is 0 for requests, 2 for success, 4 and 5 for errors.
+// Class returns 0 for a method, 2 for success, 4 for a client error, 5 for a server
+// error. Classes 1, 6 and 7 are reserved.
 func (c Code) Class() int { return int(c >> 5) }
 
-// Detail is what is behind the dot.
+// Detail returns the number behind the dot, 0 to 31.
 func (c Code) Detail() int { return int(c & 31) }
 
-// IsRequest tells whether it is a method.
+// IsRequest reports whether the code is a method.
 func (c Code) IsRequest() bool { return c.Class() == 0 && c != Empty }
 
-// IsResponse tells whether it is a response code.
+// IsResponse reports whether the code is a response code.
 func (c Code) IsResponse() bool { return c.Class() >= 2 && c.Class() <= 5 }
 
-// String writes c.dd.
+// String returns the code in the form c.dd.
 func (c Code) String() string { return fmt.Sprintf("%d.%02d", c.Class(), c.Detail()) }
--- a/internal/coap/message/message.go
+++ b/internal/coap/message/message.go
@@ -1,6 +1,7 @@
-// Package message reads and writes the datagrams of CoAP (RFC 7252, section 3).
-// It does no I/O. What it decodes shares the datagram's memory; nothing is kept
-// beyond the call that passed it in.
+// Package message decodes and encodes CoAP messages (RFC 7252, section 3).
+//
+// It does no I/O and has no state. A decoded message shares the memory of its
+// datagram: whoever needs it after the datagram's buffer is reused copies it.
 package message
 
 import (
@@ -10,10 +11,10 @@
 	"slices"
 )
 
-// Type is a message's type (RFC 7252, section 4.2 and 4.3).
+// Type is the type of a message (RFC 7252, sections 4.2 and 4.3).
 type Type uint8
 
-// The types.
+// Message types, with their values on the wire.
 const (
 	Confirmable     Type = 0
 	NonConfirmable  Type = 1
@@ -21,20 +22,33 @@
 	Reset           Type = 3
 )
 
-// String names a type as the RFC abbreviates it.
+// String returns the abbreviation that RFC 7252 uses: CON, NON, ACK or RST.
 func (t Type) String() string { return [...]string{"CON", "NON", "ACK", "RST"}[t&3] }
 
 // Bounds of a message.
 const (
-	MaxTokenSize = 8 // bytes (RFC 7252, section 3)
-	MaxOptions   = 64
-	// MaxDatagramSize is the largest datagram that is read: a block of 1,024 bytes
-	// with its options, with room to spare. RFC 7252, section 4.6, bounds a
-	// message at 1,152 bytes where nothing else is known.
+	MaxTokenSize = 8  // bytes (RFC 7252, section 3)
+	MaxOptions   = 64 // options of one message
+	// MaxDatagramSize is the size in bytes of the largest datagram that is decoded: a
+	// block of 1,024 bytes with its options and a margin. RFC 7252, section 4.6,
+	// limits a message to 1,152 bytes where nothing else is known.
 	MaxDatagramSize = 2048
-	headerBytes     = 4
-	version         = 1
-	marker          = 0xff
+)
+
+const (
+	headerSize    = 4 // bytes
+	version       = 1
+	payloadMarker = 0xff
+	maxNumber     = 0xffff // largest option number
+)
+
+// Forms of an option's delta and length (RFC 7252, section 3.1): a nibble below
+// extendedOneByte is the value itself.
+const (
+	extendedOneByte      = 13  // one byte follows, to which extendedOneByte is added
+	extendedTwoBytes     = 14  // two bytes follow, to which extendedTwoBytesBase is added
+	extendedReserved     = 15  // reserved for the payload marker
+	extendedTwoBytesBase = 269 // extendedOneByte + 256
 )
 
 // Option is one option of a message.
@@ -43,8 +57,8 @@
 	Value  []byte
 }
 
-// Message is a CoAP message. Options are in the order of their numbers, and
-// among the same number in the order they came.
+// Message is a CoAP message. Decode leaves the options in ascending order of their
+// numbers, repeated ones in the order in which they were received.
 type Message struct {
 	Type    Type
 	Code    Code
@@ -54,110 +68,112 @@
 	Payload []byte
 }
 
-// Errors of Decode. ErrNotCoAP is for what must be ignored in silence: too short
-// to hold a header, or of another version (RFC 7252, section 3). All others are
-// message format errors: a confirmable message is rejected with a Reset
-// (section 4.2), a non-confirmable one may be ignored (section 4.3). Decode
-// returns type and ID with those.
+// Errors of Decode and Append.
+//
+// A datagram with ErrNotCoAP is ignored (RFC 7252, section 3). All others are message
+// format errors: a confirmable message is rejected with a Reset (section 4.2), a
+// non-confirmable one may be ignored (section 4.3). With those, Decode sets type and ID.
 var (
-	ErrNotCoAP        = errors.New("coap: not a message of version 1")
-	ErrTokenLength    = errors.New("coap: token of 9 to 15 bytes")
-	ErrTruncated      = errors.New("coap: ends within a token or an option")
+	ErrNotCoAP        = errors.New("coap: datagram without a header of CoAP version 1")
+	ErrTokenLength    = errors.New("coap: token longer than 8 bytes")
+	ErrTruncated      = errors.New("coap: message ends within a token or an option")
 	ErrReservedLength = errors.New("coap: reserved option delta or length")
 	ErrOptionNumber   = errors.New("coap: option number over 65535")
-	ErrTooManyOptions = errors.New("coap: too many options")
+	ErrTooManyOptions = errors.New("coap: more than 64 options")
 	ErrMissingPayload = errors.New("coap: payload marker without a payload")
-	ErrNonEmpty       = errors.New("coap: empty message with more than a header")
+	ErrNonEmpty       = errors.New("coap: code 0.00 with a token, an option or a payload")
 	ErrReservedClass  = errors.New("coap: code of a reserved class")
-	ErrTooLarge       = errors.New("coap: datagram too long")
+	ErrTooLarge       = errors.New("coap: datagram longer than 2048 bytes")
+	ErrOptionLength   = errors.New("coap: option value longer than 65804 bytes")
 )
 
-// Decode reads a datagram into m, reusing m's options. The message shares the
-// datagram's memory.
-func Decode(datagram []byte, m *Message) error {
-	if len(datagram) < headerBytes || datagram[0]>>6 != version {
+// Decode decodes a datagram into the message, whose option slice it reuses. The
+// message shares the datagram's memory.
+func Decode(datagram []byte, into *Message) error {
+	if len(datagram) < headerSize || datagram[0]>>6 != version {
 		return ErrNotCoAP
 	}
-	*m = Message{
+	*into = Message{
 		Type: Type(datagram[0] >> 4 & 3), Code: Code(datagram[1]), ID: binary.BigEndian.Uint16(datagram[2:]),
-		Options: m.Options[:0],
+		Options: into.Options[:0],
 	}
 	if len(datagram) > MaxDatagramSize {
 		return ErrTooLarge
 	}
-	tokenLen := int(datagram[0] & 15)
-	rest := datagram[headerBytes:]
-	if m.Code == Empty {
-		if tokenLen > 0 || len(rest) > 0 {
+	tokenLength := int(datagram[0] & 15)
+	data := datagram[headerSize:]
+	if into.Code == Empty {
+		if tokenLength > 0 || len(data) > 0 {
 			return ErrNonEmpty // section 4.1
 		}
 		return nil
 	}
-	if c := m.Code.Class(); c == 1 || c == 6 || c == 7 {
-		return ErrReservedClass // section 4.2: reserved classes are format errors
+	if !into.Code.IsRequest() && !into.Code.IsResponse() {
+		return ErrReservedClass // section 4.2
 	}
-	if tokenLen > MaxTokenSize {
+	if tokenLength > MaxTokenSize {
 		return ErrTokenLength
 	}
-	if len(rest) < tokenLen {
+	if len(data) < tokenLength {
 		return ErrTruncated
 	}
-	m.Token, rest = rest[:tokenLen:tokenLen], rest[tokenLen:]
-	return m.decodeOptions(rest)
+	into.Token = data[:tokenLength:tokenLength]
+	return into.decodeOptions(data[tokenLength:])
 }
 
-// decodeOptions reads options and payload.
-func (m *Message) decodeOptions(rest []byte) error {
+// decodeOptions decodes the options and the payload.
+func (m *Message) decodeOptions(data []byte) error {
 	number := 0
-	for len(rest) > 0 {
-		if rest[0] == marker {
-			if len(rest) == 1 {
+	for len(data) > 0 {
+		if data[0] == payloadMarker {
+			if len(data) == 1 {
 				return ErrMissingPayload
 			}
-			m.Payload = rest[1:]
+			m.Payload = data[1:]
 			return nil
 		}
 		if len(m.Options) == MaxOptions {
 			return ErrTooManyOptions
 		}
-		delta, length := int(rest[0]>>4), int(rest[0]&15)
-		rest = rest[1:]
+		delta, length := int(data[0]>>4), int(data[0]&15)
+		data = data[1:]
 		var err error
-		if delta, rest, err = extended(delta, rest); err != nil {
+		if delta, data, err = decodeExtended(delta, data); err != nil {
 			return err
 		}
-		if length, rest, err = extended(length, rest); err != nil {
+		if length, data, err = decodeExtended(length, data); err != nil {
 			return err
 		}
-		if number += delta; number > 0xffff {
+		if number += delta; number > maxNumber {
 			return ErrOptionNumber
 		}
-		if len(rest) < length {
+		if len(data) < length {
 			return ErrTruncated
 		}
-		m.Options = append(m.Options, Option{Number(number), rest[:length:length]})
-		rest = rest[length:]
+		m.Options = append(m.Options, Option{Number(number), data[:length:length]})
+		data = data[length:]
 	}
 	return nil
 }
 
-// extended reads a delta or length of more than 4 bits (section 3.1).
-func extended(n int, rest []byte) (int, []byte, error) {
+// decodeExtended returns the delta or length that a nibble stands for, and the data
+// behind its extension bytes.
+func decodeExtended(nibble int, data []byte) (int, []byte, error) {
 	switch {
-	case n < 13:
-		return n, rest, nil
-	case n == 13 && len(rest) >= 1:
-		return int(rest[0]) + 13, rest[1:], nil
-	case n == 14 && len(rest) >= 2:
-		return int(binary.BigEndian.Uint16(rest)) + 269, rest[2:], nil
-	case n == 15:
+	case nibble < extendedOneByte:
+		return nibble, data, nil
+	case nibble == extendedOneByte && len(data) >= 1:
+		return int(data[0]) + extendedOneByte, data[1:], nil
+	case nibble == extendedTwoBytes && len(data) >= 2:
+		return int(binary.BigEndian.Uint16(data)) + extendedTwoBytesBase, data[2:], nil
+	case nibble == extendedReserved:
 		return 0, nil, ErrReservedLength
 	}
 	return 0, nil, ErrTruncated
 }
 
-// Append writes the message behind buf. Options are put in order; it returns an
-// error for what no datagram can hold.
+// Append appends the encoded message to buf. It sorts the options by number. The
+// error is one of those above, for a message that has no encoding.
 func (m *Message) Append(buf []byte) ([]byte, error) {
 	if len(m.Token) > MaxTokenSize {
 		return nil, ErrTokenLength
@@ -170,101 +186,114 @@
 		return buf, nil
 	}
 	buf = append(buf, m.Token...)
+	buf, err := m.appendOptions(buf)
+	if err != nil {
+		return nil, err
+	}
+	if len(m.Payload) > 0 {
+		buf = append(append(buf, payloadMarker), m.Payload...)
+	}
+	return buf, nil
+}
+
+// appendOptions sorts the options and appends them.
+func (m *Message) appendOptions(buf []byte) ([]byte, error) {
 	if len(m.Options) > MaxOptions {
 		return nil, ErrTooManyOptions
 	}
-	inOrder := func(a, b Option) int { return int(a.Number) - int(b.Number) }
-	if !slices.IsSortedFunc(m.Options, inOrder) {
-		slices.SortStableFunc(m.Options, inOrder)
+	byNumber := func(a, b Option) int { return int(a.Number) - int(b.Number) }
+	if !slices.IsSortedFunc(m.Options, byNumber) {
+		slices.SortStableFunc(m.Options, byNumber)
 	}
-	last := 0
-	for _, o := range m.Options {
-		if len(o.Value) > 65535+269 {
-			return nil, fmt.Errorf("coap: option %d of %d bytes", o.Number, len(o.Value))
+	previous := Number(0)
+	for _, option := range m.Options {
+		if len(option.Value) > 0xffff+extendedTwoBytesBase {
+			return nil, fmt.Errorf("%w: found %d bytes in option %d", ErrOptionLength, len(option.Value), option.Number)
 		}
-		at := len(buf)
+		start := len(buf)
 		buf = append(buf, 0)
-		var d, l byte
-		d, buf = appendExtended(buf, int(o.Number)-last)
-		l, buf = appendExtended(buf, len(o.Value))
-		buf[at] = d<<4 | l
-		buf = append(buf, o.Value...)
-		last = int(o.Number)
-	}
-	if len(m.Payload) > 0 {
-		buf = append(append(buf, marker), m.Payload...)
+		var delta, length byte
+		delta, buf = appendExtended(buf, int(option.Number)-int(previous))
+		length, buf = appendExtended(buf, len(option.Value))
+		buf[start] = delta<<4 | length
+		buf = append(buf, option.Value...)
+		previous = option.Number
 	}
 	return buf, nil
 }
 
-// appendExtended writes what a delta or length has beyond its 4 bits.
-func appendExtended(buf []byte, n int) (byte, []byte) {
+// appendExtended appends the extension bytes of a delta or length, and returns its
+// nibble.
+func appendExtended(buf []byte, value int) (byte, []byte) {
 	switch {
-	case n < 13:
-		return byte(n), buf
-	case n < 269:
-		return 13, append(buf, byte(n-13))
+	case value < extendedOneByte:
+		return byte(value), buf
+	case value < extendedTwoBytesBase:
+		return extendedOneByte, append(buf, byte(value-extendedOneByte))
 	}
-	n -= 269
-	return 14, append(buf, byte(n>>8), byte(n))
+	return extendedTwoBytes, binary.BigEndian.AppendUint16(buf, uint16(value-extendedTwoBytesBase))
 }
 
-// Get returns the value of the first option of that number.
-func (m *Message) Get(n Number) ([]byte, bool) {
-	for _, o := range m.Options {
-		if o.Number == n {
-			return o.Value, true
+// Get returns the value of the first option with that number, and whether there is
+// one.
+func (m *Message) Get(number Number) ([]byte, bool) {
+	for _, option := range m.Options {
+		if option.Number == number {
+			return option.Value, true
 		}
 	}
 	return nil, false
 }
 
-// Uint returns the value of an option as the number that it holds (section
-// 3.2); leading zeros are allowed. It returns false where there is none, or one
-// longer than 4 bytes.
-func (m *Message) Uint(n Number) (uint32, bool) {
-	v, ok := m.Get(n)
-	if !ok || len(v) > 4 {
+// Uint returns the value of an option in the uint format (RFC 7252, section 3.2).
+// Leading zeros are allowed. It returns false where there is no such option or its
+// value is longer than 4 bytes.
+func (m *Message) Uint(number Number) (uint32, bool) {
+	value, found := m.Get(number)
+	if !found || len(value) > 4 {
 		return 0, false
 	}
-	var x uint32
-	for _, b := range v {
-		x = x<<8 | uint32(b)
+	var result uint32
+	for _, b := range value {
+		result = result<<8 | uint32(b)
 	}
-	return x, true
+	return result, true
 }
 
-// Add appends an option with an opaque or text value. The value is not copied.
-func (m *Message) Add(n Number, value []byte) { m.Options = append(m.Options, Option{n, value}) }
+// Add appends an option with an opaque or string value. The value is not copied.
+func (m *Message) Add(number Number, value []byte) {
+	m.Options = append(m.Options, Option{number, value})
+}
 
-// AddUint appends an option with a number, in as few bytes as hold it.
-func (m *Message) AddUint(n Number, x uint32) {
-	v := binary.BigEndian.AppendUint32(nil, x)
-	for len(v) > 0 && v[0] == 0 {
-		v = v[1:]
+// AddUint appends an option in the uint format, in as few bytes as hold the value.
+func (m *Message) AddUint(number Number, value uint32) {
+	encoded := binary.BigEndian.AppendUint32(nil, value)
+	for len(encoded) > 0 && encoded[0] == 0 {
+		encoded = encoded[1:]
 	}
-	m.Add(n, v)
+	m.Add(number, encoded)
 }
 
-// Path joins the Uri-Path options with slashes, as /a/b; "/" where there is
-// none.
-func (m *Message) Path() string { return "/" + m.joined(URIPath, '/') }
+// Path returns the Uri-Path options joined with slashes, as in /a/b, and "/" where
+// there is none.
+func (m *Message) Path() string { return "/" + m.join(URIPath, '/') }
 
-// Query joins the Uri-Query options with ampersands.
-func (m *Message) Query() string { return m.joined(URIQuery, '&') }
+// Query returns the Uri-Query options joined with ampersands.
+func (m *Message) Query() string { return m.join(URIQuery, '&') }
 
-func (m *Message) joined(n Number, sep byte) string {
-	var b []byte
+// join returns the values of all options with that number, separated.
+func (m *Message) join(number Number, separator byte) string {
+	var joined []byte
 	first := true
-	for _, o := range m.Options {
-		if o.Number != n {
+	for _, option := range m.Options {
+		if option.Number != number {
 			continue
 		}
 		if !first {
-			b = append(b, sep)
+			joined = append(joined, separator)
 		}
 		first = false
-		b = append(b, o.Value...)
+		joined = append(joined, option.Value...)
 	}
-	return string(b)
+	return string(joined)
 }
--- a/internal/coap/message/message_test.go
+++ b/internal/coap/message/message_test.go
@@ -12,7 +12,7 @@
 )
 
 // The examples of RFC 7252, appendix A, byte for byte.
-func TestExamplesOfTheRFC(t *testing.T) {
+func TestExamplesOfRFC7252(t *testing.T) {
 	for name, c := range map[string]struct {
 		hex  string
 		want Message
@@ -40,7 +40,7 @@
 	}
 }
 
-// same compares messages; nil and empty are alike.
+// same compares messages; nil and empty slices are equal.
 func same(a, b *Message) bool {
 	if a.Type != b.Type || a.Code != b.Code || a.ID != b.ID || !bytes.Equal(a.Token, b.Token) || !bytes.Equal(a.Payload, b.Payload) || len(a.Options) != len(b.Options) {
 		return false
@@ -53,7 +53,7 @@
 	return true
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for _, c := range []struct {
 		name, hex string
 		want      error
@@ -63,15 +63,15 @@
 		{"version 0", "00010001", ErrNotCoAP},
 		{"version 2", "80010001", ErrNotCoAP},
 		{"a token of 9", "49010001010203040506070809", ErrTokenLength},
-		{"a token cut short", "4401000101", ErrTruncated},
+		{"a truncated token", "4401000101", ErrTruncated},
 		{"an empty one with a token", "4100000101", ErrNonEmpty},
 		{"an empty one with a payload", "40000001ff01", ErrNonEmpty},
 		{"a marker with no payload", "40010001ff", ErrMissingPayload},
-		{"an option cut short", "40010001b4616263", ErrTruncated},
+		{"a truncated option", "40010001b4616263", ErrTruncated},
 		{"a reserved delta", "40010001f0", ErrReservedLength},
 		{"a reserved length", "400100010f", ErrReservedLength},
-		{"an extended delta cut short", "40010001d0", ErrTruncated},
-		{"a two-byte delta cut short", "40010001e001", ErrTruncated},
+		{"a truncated one-byte delta", "40010001d0", ErrTruncated},
+		{"a truncated two-byte delta", "40010001e001", ErrTruncated},
 		{"a length past the end", "40010001bd0a61", ErrTruncated},
 		{"a number over 65535", "40010001e0ffffe0ffff", ErrOptionNumber},
 		{"too many options", "40010001" + strings.Repeat("10", 65), ErrTooManyOptions},
@@ -89,7 +89,7 @@
 	}
 }
 
-// What can be encoded comes back the same.
+// A message that was encoded decodes to the same message.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{
@@ -113,17 +113,17 @@
 			t.Fatalf("%x: %v", text, err)
 		}
 		if !same(&m, &got) {
-			t.Fatalf("%+v came back as %+v", m, got)
+			t.Fatalf("%+v decoded as %+v", m, got)
 		}
 	})
 }
 
-func TestUints(t *testing.T) {
+func TestUint(t *testing.T) {
 	for _, x := range []uint32{0, 1, 255, 256, 65535, 65536, 1<<32 - 1} {
 		var m Message
 		m.AddUint(MaxAge, x)
 		if got, ok := m.Uint(MaxAge); !ok || got != x {
-			t.Errorf("%d came back as %d", x, got)
+			t.Errorf("%d decoded as %d", x, got)
 		}
 	}
 	m := Message{Options: []Option{{MaxAge, []byte{0, 0, 1}}}}
@@ -131,27 +131,26 @@
 		t.Errorf("leading zeros: %d", got)
 	}
 	if _, ok := m.Uint(Size1); ok {
-		t.Error("an option that is not there has a value")
+		t.Error("a missing option has a value")
 	}
 }
 
-func TestBlocks(t *testing.T) {
+func TestBlock(t *testing.T) {
 	for _, b := range []Block{{0, false, 16}, {0, true, 1024}, {63, true, 1024}, {1<<20 - 1, false, 512}} {
 		var m Message
 		m.AddBlock(Block1, b)
 		if got, there, good := m.Block(Block1); !there || !good || got != b {
-			t.Errorf("%+v came back as %+v", b, got)
+			t.Errorf("%+v decoded as %+v", b, got)
 		}
 	}
 	m := Message{Options: []Option{{Block2, []byte{7}}}}
 	if _, there, good := m.Block(Block2); !there || good {
-		t.Error("the reserved size was taken")
+		t.Error("the reserved size is valid")
 	}
 }
 
-// Options that are not known, of a wrong length, or once too often (RFC 7252,
-// section 5.4).
-func TestUnknown(t *testing.T) {
+// Options that are unsupported, of a wrong length, or repeated (RFC 7252, section 5.4).
+func TestFilterOptions(t *testing.T) {
 	all := func(n Number) bool { return n < 1000 }
 	for _, c := range []struct {
 		name    string
@@ -160,9 +159,9 @@
 		found   bool
 		left    int
 	}{
-		{"all known", []Option{{URIPath, []byte("a")}, {URIPath, []byte("b")}}, 0, false, 2},
-		{"an elective one that is not", []Option{{URIPath, nil}, {2000, []byte("x")}}, 0, false, 1},
-		{"a critical one that is not", []Option{{2001, []byte("x")}}, 2001, true, 1},
+		{"all supported", []Option{{URIPath, []byte("a")}, {URIPath, []byte("b")}}, 0, false, 2},
+		{"an unsupported elective one", []Option{{URIPath, nil}, {2000, []byte("x")}}, 0, false, 1},
+		{"an unsupported critical one", []Option{{2001, []byte("x")}}, 2001, true, 1},
 		{"a critical one of a wrong length", []Option{{Accept, []byte("xxx")}}, Accept, true, 1},
 		{"an elective one of a wrong length", []Option{{ContentFormat, []byte("xxx")}}, 0, false, 0},
 		{"a critical one twice", []Option{{URIHost, []byte("a")}, {URIHost, []byte("b")}}, URIHost, true, 2},
@@ -175,7 +174,7 @@
 		}
 	}
 	if !URIHost.Critical() || ETag.Critical() || !URIHost.Unsafe() || !Size1.NoCacheKey() || ETag.NoCacheKey() {
-		t.Error("the bits of option numbers are read wrong")
+		t.Error("the bits of option numbers are decoded wrong")
 	}
 }
 
@@ -186,8 +185,8 @@
 	}
 }
 
-// FuzzDecode: nothing panics, nothing outside the datagram is looked at, and
-// what is decoded encodes to what decodes the same.
+// FuzzDecode checks that no datagram causes a panic, and that a decoded message
+// encodes to bytes that decode to the same message.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{"40017d34bb74656d7065726174757265", "60457d34ff32322e332043", "60007d36", "49010001010203040506070809", "40010001e0ffffe0ffff", "40010001bd0a61", "ffffffffff", "48020001010203040506070850ff61"} {
 		text, _ := hex.DecodeString(s)
--- a/internal/coap/message/option.go
+++ b/internal/coap/message/option.go
@@ -1,7 +1,7 @@
 package message
 
-// Number is an option's number. Its bits tell what one that does not know it
-// must do (RFC 7252, section 5.4.6).
+// Number is the number of an option. Its bits say what a recipient that does not
+// support the option must do (RFC 7252, section 5.4.6).
 type Number uint16
 
 // Options of RFC 7252, RFC 7641 (Observe), RFC 7959 (blocks, sizes), RFC 8768
@@ -32,24 +32,29 @@
 	RequestTag    Number = 292
 )
 
-// Critical tells whether a message with an option that is not known must be
-// turned away (section 5.4.1).
+// Critical reports whether a message must be rejected by a recipient that does not
+// support the option (section 5.4.1); otherwise the option is elective.
 func (n Number) Critical() bool { return n&1 == 1 }
 
-// Unsafe tells whether a proxy that does not know the option must not pass it
-// on (section 5.4.2).
+// Unsafe reports whether a proxy that does not support the option must not forward it
+// (section 5.4.2).
 func (n Number) Unsafe() bool { return n&2 == 2 }
 
-// NoCacheKey tells whether the option is left out of the cache key.
+// NoCacheKey reports whether the option is not part of the cache key (section 5.4.2).
 func (n Number) NoCacheKey() bool { return n&0x1e == 0x1c }
 
-// shape is what a known option may look like.
-type shape struct {
-	least, most int // bytes
-	repeatable  bool
+// format is what the RFCs allow for an option.
+type format struct {
+	minLength, maxLength int // bytes
+	repeatable           bool
 }
 
-var shapes = map[Number]shape{
+// permits reports whether an option has a permitted length, and occurs once if it must.
+func (f format) permits(length int, repeated bool) bool {
+	return length >= f.minLength && length <= f.maxLength && (f.repeatable || !repeated)
+}
+
+var formats = map[Number]format{
 	IfMatch: {0, 8, true}, URIHost: {1, 255, false}, ETag: {1, 8, true}, IfNoneMatch: {0, 0, false},
 	Observe: {0, 3, false}, URIPort: {0, 2, false}, LocationPath: {0, 255, true}, URIPath: {0, 255, true},
 	ContentFormat: {0, 2, false}, MaxAge: {0, 4, false}, URIQuery: {0, 255, true}, HopLimit: {1, 1, false},
@@ -58,72 +63,88 @@
 	Echo: {1, 40, false}, NoResponse: {0, 1, false}, RequestTag: {0, 8, true},
 }
 
-// Supported says which options a side takes, beyond what they may look like.
+// Supported reports whether a recipient processes an option.
 type Supported func(Number) bool
 
-// FilterOptions goes through the options as RFC 7252, section 5.4, wants it. One that
-// the side does not take, whose length is outside its range (5.4.3), or that is
-// a repeat of one that may come once (5.4.5) is as good as not known: if it is
-// elective it is left out of the message; if it is critical its number is
-// returned, and the message is to be turned away.
-func (m *Message) FilterOptions(known Supported) (Number, bool) {
-	kept := m.Options[:0]
-	bad, found := Number(0), false
-	for i, o := range m.Options {
-		sh, has := shapes[o.Number]
-		fine := known(o.Number) && (!has || len(o.Value) >= sh.least && len(o.Value) <= sh.most &&
-			(sh.repeatable || i == 0 || m.Options[i-1].Number != o.Number))
+// FilterOptions applies RFC 7252, section 5.4. An option counts as unsupported, too,
+// where its length is out of range (5.4.3) or it is a repetition of an option that is
+// not repeatable (5.4.5). Unsupported elective options are removed from the message.
+// With an unsupported critical option, the number of the first one and true are
+// returned: the message is to be rejected, and its options must not be used.
+func (m *Message) FilterOptions(supported Supported) (Number, bool) {
+	remaining := m.Options[:0]
+	critical, reject := Number(0), false
+	for i, option := range m.Options {
+		allowed, known := formats[option.Number]
+		repeated := i > 0 && m.Options[i-1].Number == option.Number
 		switch {
-		case fine:
-			kept = append(kept, o)
-		case o.Number.Critical() && !found:
-			bad, found = o.Number, true
+		case supported(option.Number) && (!known || allowed.permits(len(option.Value), repeated)):
+			remaining = append(remaining, option)
+		case option.Number.Critical() && !reject:
+			critical, reject = option.Number, true
 		}
 	}
-	if found {
-		return bad, true
+	if reject {
+		return critical, true
 	}
-	m.Options = kept
+	m.Options = remaining
 	return 0, false
 }
 
 // Block is the value of a Block1 or Block2 option (RFC 7959, section 2.2).
 type Block struct {
-	Num  uint32 // of the block, from 0
-	More bool
-	Size int // bytes of a block: 16 to 1,024
+	Num  uint32 // number of the block, from 0
+	More bool   // further blocks follow
+	Size int    // of the block in bytes: a power of two from 16 to MaxBlockSize
 }
 
+// Sizes of a block, in bytes.
 const (
-	mostBlockNum = 1<<20 - 1
-	// MaxBlockSize is the largest block.
+	MinBlockSize = 16
 	MaxBlockSize = 1024
 )
 
-// Block returns a block option; false where there is none or its size is the
-// reserved one, which is an error of the request (RFC 7959, section 2.2).
-func (m *Message) Block(n Number) (b Block, there, good bool) {
-	v, there := m.Get(n)
-	if !there {
-		return b, false, false
+const (
+	maxBlockNum = 1<<20 - 1
+
+	// The option's value: block number, the bit for further blocks, size exponent.
+	blockNumShift        = 4
+	blockMore            = 1 << 3
+	sizeExponentMask     = 7
+	maxSizeExponent      = 6
+	reservedSizeExponent = 7
+	maxBlockLength       = 3 // bytes of the option's value
+)
+
+// Block returns the value of a block option and whether there is one. It is not valid
+// where its length or size is reserved, which is an error of the request (RFC 7959,
+// section 2.2).
+func (m *Message) Block(number Number) (block Block, found, valid bool) {
+	encoded, found := m.Get(number)
+	if !found {
+		return Block{}, false, false
 	}
-	x, good := m.Uint(n)
-	if !good || len(v) > 3 || x&7 == 7 {
-		return b, true, false
+	value, valid := m.Uint(number)
+	if !valid || len(encoded) > maxBlockLength || value&sizeExponentMask == reservedSizeExponent {
+		return Block{}, true, false
 	}
-	return Block{Num: x >> 4, More: x&8 != 0, Size: 16 << (x & 7)}, true, true
+	return Block{
+		Num:  value >> blockNumShift,
+		More: value&blockMore != 0,
+		Size: MinBlockSize << (value & sizeExponentMask),
+	}, true, true
 }
 
-// AddBlock appends a block option. A size that is none is taken as the next
-// smaller one.
-func (m *Message) AddBlock(n Number, b Block) {
-	szx := uint32(0)
-	for szx < 6 && 16<<(szx+1) <= b.Size {
-		szx++
+// AddBlock appends a block option. A size that is no power of two is rounded down, one
+// out of range is replaced with the nearest bound, as is a number over 2^20-1.
+func (m *Message) AddBlock(number Number, block Block) {
+	sizeExponent := uint32(0)
+	for sizeExponent < maxSizeExponent && MinBlockSize<<(sizeExponent+1) <= block.Size {
+		sizeExponent++
 	}
-	x := min(b.Num, mostBlockNum)<<4 | szx
-	if b.More {
-		x |= 8
+	value := min(block.Num, maxBlockNum)<<blockNumShift | sizeExponent
+	if block.More {
+		value |= blockMore
 	}
-	m.AddUint(n, x)
+	m.AddUint(number, value)
 }
