--- a/internal/coap/gate/gate.go
+++ b/internal/coap/gate/gate.go
@@ -67,7 +67,7 @@
 // Settings are a gate's bounds.
 type Settings struct {
 	Params  exchange.Params
-	Limits  exchange.Limits
+	Limits  exchange.ServerLimits
 	Blocks  block.Limits
 	Classes map[string]Class
 	// DeadlineTimes bounds a request's own deadline, as a multiple of its class's.
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Request is what a client asks, ready for the decision module.
+// IsRequest is what a client asks, ready for the decision module.
 type Request struct {
 	Handle        uint64
 	Class         string
@@ -135,7 +135,7 @@
 	NotRun              // a call server's: turned away, and surely not run
 )
 
-// Answer is what the decision module answers.
+// Respond is what the decision module answers.
 type Answer struct {
 	Outcome       Outcome
 	Wait          time.Duration // with a refusal: when to come again; 0 for no advice
@@ -143,7 +143,7 @@
 	ContentFormat int // -1 for none
 }
 
-// Kind says what an action is.
+// ActionKind says what an action is.
 type Kind int
 
 // The kinds of action.
@@ -194,7 +194,7 @@
 	ex       *exchange.Server
 	in       *block.Receiver
 	out      *block.Sender
-	echo     *echo.Maker
+	echo     *echo.Issuer
 	cleanAt  time.Duration // no request of an earlier life can come from then on
 	begun    bool
 	draining bool
@@ -233,41 +233,41 @@
 	c := g.counts
 	c.Counts = g.ex.Counts()
 	c.Observers = len(g.watch.by)
-	in, _ := g.in.Held()
-	out, _ := g.out.Held()
+	in, _ := g.in.InFlight()
+	out, _ := g.out.InFlight()
 	c.Transfers = in + out
 	return c
 }
 
-// Open is how many requests have no answer yet.
+// MaxPendingRequests is how many requests have no answer yet.
 func (g *Gate) Open() int { return len(g.asked) }
 
-// Unacked is how many answers wait for their acknowledgement, and go again without.
-func (g *Gate) Unacked() int { return g.ex.Unacked() }
+// UnacknowledgedResponses is how many answers wait for their acknowledgement, and go again without.
+func (g *Gate) Unacked() int { return g.ex.UnacknowledgedResponses() }
 
 // Drain turns away what is new from now on; what is open is answered.
 func (g *Gate) Drain() { g.draining = true }
 
-// Carry writes what a later process has to know, and for how long that one has to
+// ExportTable writes what a later process has to know, and for how long that one has to
 // wait for what this one had to wait for.
 func (g *Gate) Carry(now time.Duration) (text []byte, cleanIn time.Duration) {
 	g.began(now)
-	return g.ex.Carry(now), max(0, g.cleanAt-now)
+	return g.ex.ExportTable(now), max(0, g.cleanAt-now)
 }
 
-// Continue takes what an earlier process wrote, age ago, before anything was
+// HandleResponse takes what an earlier process wrote, age ago, before anything was
 // received: from then on nothing is unknown but what was so there, for cleanIn more.
 // draining says that it still answers what it has open, until Alone.
 func (g *Gate) Continue(now, age time.Duration, text []byte, cleanIn time.Duration, draining bool) error {
-	if err := g.ex.Continue(now, age, text, draining); err != nil {
+	if err := g.ex.ImportTable(now, age, text, draining); err != nil {
 		return err
 	}
 	g.begun, g.cleanAt = true, now+max(0, cleanIn-age)
 	return nil
 }
 
-// Alone says that the process before has ended.
-func (g *Gate) Alone() { g.ex.Alone() }
+// PredecessorEnded says that the process before has ended.
+func (g *Gate) Alone() { g.ex.PredecessorEnded() }
 
 // Distrust says that another process has taken requests that this one knows
 // nothing of, until now.
@@ -314,7 +314,7 @@
 	g.acts = acts
 	var m message.Message
 	if err := message.Decode(datagram, &m); err != nil {
-		g.carry(now, g.ex.Malformed(peer, &m, err, nil), len(datagram))
+		g.carry(now, g.ex.ReceiveMalformed(peer, &m, err, nil), len(datagram))
 		return g.done()
 	}
 	sent := g.ex.Receive(now, peer, &m, nil)
@@ -337,7 +337,7 @@
 	})
 }
 
-// Next returns when Tick has something to do; false if there is nothing.
+// NextBlock returns when Tick has something to do; false if there is nothing.
 func (g *Gate) Next() (time.Duration, bool) {
 	at, ok := g.ex.Next()
 	if w, due := g.watch.next(); due && (!ok || w < at) {
@@ -398,7 +398,7 @@
 	}
 	x.key = block.Key(x.peer.String(), &x.req)
 	if b, there, good := x.req.Block(message.Block2); there && good && b.Num > 0 {
-		if next, ok := g.out.Next(now, x.key, &x.req); ok {
+		if next, ok := g.out.NextBlock(now, x.key, &x.req); ok {
 			g.reply(now, x, next)
 			return
 		}
@@ -418,8 +418,8 @@
 // gather puts a body together; false where the request is not whole, and has its
 // answer.
 func (g *Gate) gather(now time.Duration, x *open, r *Request) bool {
-	part := g.in.Take(now, x.key, &x.req)
-	if part.Whole {
+	part := g.in.Receive(now, x.key, &x.req)
+	if part.Complete {
 		r.Body = part.Body
 		return true
 	}
@@ -427,8 +427,8 @@
 	if part.Code != message.BadRequest {
 		m.AddBlock(message.Block1, part.Block)
 	}
-	if part.Size1 > 0 {
-		m.AddUint(message.Size1, uint32(part.Size1))
+	if part.MaxBodySize > 0 {
+		m.AddUint(message.Size1, uint32(part.MaxBodySize))
 	}
 	if part.Code.Class() == 4 {
 		g.counts.BadRequests++
@@ -495,7 +495,7 @@
 	return slices.ContainsFunc(g.set.Trusted, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// Answer takes the answer to a request.
+// Respond takes the answer to a request.
 func (g *Gate) Answer(now time.Duration, handle uint64, a Answer, acts []Action) []Action {
 	g.began(now)
 	g.acts = acts
@@ -514,7 +514,7 @@
 		g.observed(now, x, a, &m)
 	}
 	if m.Code.Class() == 2 {
-		m = g.out.First(now, x.key, &x.req, m)
+		m = g.out.FirstBlock(now, x.key, &x.req, m)
 	}
 	g.reply(now, x, m)
 	return g.done()
@@ -579,9 +579,9 @@
 		most = spread*x.bytes - emptyBytes
 		m = g.bounded(now, x, m, most)
 	}
-	acts, err := g.ex.AnswerWithin(now, x.handle, m, most, nil)
+	acts, err := g.ex.RespondWithin(now, x.handle, m, most, nil)
 	if err != nil {
-		acts, _ = g.ex.Answer(now, x.handle, message.Message{Code: message.InternalServerError}, nil)
+		acts, _ = g.ex.Respond(now, x.handle, message.Message{Code: message.InternalServerError}, nil)
 	}
 	g.carry(now, acts, 0)
 }
@@ -597,11 +597,11 @@
 		return m
 	}
 	if _, there := x.req.Get(message.Block2); !there && x.class.Effect == Repeat {
-		for size := message.MostBlock; size >= 16; size /= 2 {
+		for size := message.MaxBlockSize; size >= 16; size /= 2 {
 			small := x.req
 			small.Options = slices.Clone(x.req.Options)
 			small.AddBlock(message.Block2, message.Block{Size: size})
-			if s := g.out.First(now, x.key, &small, m); length(&s, len(x.req.Token)) <= most {
+			if s := g.out.FirstBlock(now, x.key, &small, m); length(&s, len(x.req.Token)) <= most {
 				return s
 			}
 		}
--- a/internal/coapupstream/pool.go
+++ b/internal/coapupstream/pool.go
@@ -34,11 +34,11 @@
 func New(set caller.Settings, most int) *Pool {
 	// What the dispatcher sends goes out at once: the decision module bounds a
 	// server's load, and a request that waited here would not be seen by it.
-	set.Params.NStart = set.Limits.Open
+	set.Params.NStart = set.Limits.MaxInFlight
 	return &Pool{set: set, most: most}
 }
 
-// Open is the dispatcher's way to a call server. Nothing is opened yet.
+// MaxPendingRequests is the dispatcher's way to a call server. Nothing is opened yet.
 func (p *Pool) Open(addr string, _ int64) dispatch.Upstream {
 	return &host{pool: p, addr: addr}
 }
@@ -165,7 +165,7 @@
 
 // read takes what comes until the socket is closed.
 func (h *lane) read(conn *net.UDPConn) {
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, err := conn.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
