--- a/internal/coap/caller/format_test.go
+++ b/internal/coap/caller/format_test.go
@@ -18,8 +18,8 @@
 func transcript(t *testing.T) string {
 	t.Helper()
 	server, err := gate.New(gate.Settings{
-		Params: exchange.Defaults(), Limits: exchange.Limits{Open: 100, Kept: 100, KeptBytes: 1 << 20},
-		Blocks: block.Limits{Transfers: 4, Body: 4096, Bytes: 16384, Idle: time.Minute, Size: 64},
+		Params: exchange.DefaultParams(), Limits: exchange.ServerLimits{MaxPendingRequests: 100, MaxDedupEntries: 100, MaxDedupBytes: 1 << 20},
+		Blocks: block.Limits{MaxTransfers: 4, MaxBodySize: 4096, MaxTotalSize: 16384, IdleTimeout: time.Minute, MaxBlockSize: 64},
 		Classes: map[string]gate.Class{
 			"roster": {Effect: gate.Repeat, Deadline: time.Second}, "join": {Effect: gate.Keyed, Deadline: time.Second}, "act": {Effect: gate.Once, Deadline: time.Second},
 		},
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, err := New(Settings{Params: exchange.Defaults(), Limits: exchange.ClientLimits{Open: 8, Heard: 8}, Body: 4096, Block: 64, EchoFor: time.Second, Seed: 1}, there)
+	client, err := New(Settings{Params: exchange.DefaultParams(), Limits: exchange.ClientLimits{MaxInFlight: 8, MaxDedupEntries: 8}, Body: 4096, Block: 64, EchoFor: time.Second, Seed: 1}, there)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -49,11 +49,11 @@
 	for name, c := range s.classes {
 		classes[name] = gate.Class{Effect: effects[c.Effect], Deadline: time.Hour}
 	}
-	p := exchange.Defaults()
-	p.AckAfter = 20 * time.Millisecond
+	p := exchange.DefaultParams()
+	p.AckDelay = 20 * time.Millisecond
 	g, err := gate.New(gate.Settings{
-		Params: p, Limits: exchange.Limits{Open: s.cfg.Queue + 1000, Kept: 1 << 20, KeptBytes: 64 << 20},
-		Blocks:  block.Limits{Transfers: 1000, Body: 64 << 10, Bytes: 64 << 20, Idle: time.Minute, Size: 1024},
+		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: s.cfg.Queue + 1000, MaxDedupEntries: 1 << 20, MaxDedupBytes: 64 << 20},
+		Blocks:  block.Limits{MaxTransfers: 1000, MaxBodySize: 64 << 10, MaxTotalSize: 64 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: 1, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, Demand: s.cfg.Echo, EchoKey: key, EchoAge: echoAge,
 	})
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// DedupHits is how many repeats over CoAP this life has met.
+// Duplicates is how many repeats over CoAP this life has met.
 func (s *Server) DedupHits() int {
 	s.mu.Lock()
 	c := s.coap
@@ -84,7 +84,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.Counts().DedupHits
+	return c.gate.Counts().Duplicates
 }
 
 // crashCoAP ends the present life over CoAP: what it held is forgotten, and what
@@ -103,7 +103,7 @@
 
 func (c *coapSide) read() {
 	defer c.srv.wg.Done()
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, peer, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/sidecar/coapserver/server.go
+++ b/internal/sidecar/coapserver/server.go
@@ -79,7 +79,7 @@
 		// Not seeded by the configuration: a restart with the same seed would generate
 		// the same request IDs again.
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		answered: make(chan *request, settings.Protocol.Limits.Open+settings.Protocol.Observers),
+		answered: make(chan *request, settings.Protocol.Limits.MaxPendingRequests+settings.Protocol.Observers),
 		closed:   make(chan struct{}),
 		readable: make(chan struct{}, 1),
 	}
@@ -167,7 +167,7 @@
 
 // read reads datagrams until the socket is closed or HandOver sets its deadline.
 func (s *Server) read() {
-	buffer := make([]byte, message.MostDatagram+1)
+	buffer := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, peer, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/sidecar/coapserver/settings.go
+++ b/internal/sidecar/coapserver/settings.go
@@ -52,11 +52,11 @@
 
 // UpstreamSettings returns the settings for upstreams over CoAP.
 func UpstreamSettings(operator *operatorconfig.CoAP, seed uint64) caller.Settings {
-	params := exchange.Defaults()
+	params := exchange.DefaultParams()
 	params.AckTimeout = operator.AckTimeout
-	params.AckAfter = params.AckTimeout / ackDelayDivisor
+	params.AckDelay = params.AckTimeout / ackDelayDivisor
 	return caller.Settings{
-		Params: params, Limits: exchange.ClientLimits{Open: maxUpstreamRequests, Heard: maxUpstreamRequests}, Body: dispatch.MaxBodySize,
+		Params: params, Limits: exchange.ClientLimits{MaxInFlight: maxUpstreamRequests, MaxDedupEntries: maxUpstreamRequests}, Body: dispatch.MaxBodySize,
 		Block: blockSize, EchoFor: upstreamEchoLifetime, Seed: seed ^ upstreamSeedMask,
 	}
 }
@@ -77,14 +77,14 @@
 		trusted = append(trusted, network.Prefix)
 	}
 	return Settings{Listen: operator.Listen, Bodies: bodies, StatePath: operator.StatePath, Protocol: gate.Settings{
-		Params: exchange.Defaults(),
-		Limits: exchange.Limits{
-			Open: operator.MaxPendingRequests, Kept: operator.MaxDedupEntries, KeptBytes: int(operator.MaxDedupBytes),
-			Settled: operator.MaxCompletedUnsafe,
+		Params: exchange.DefaultParams(),
+		Limits: exchange.ServerLimits{
+			MaxPendingRequests: operator.MaxPendingRequests, MaxDedupEntries: operator.MaxDedupEntries, MaxDedupBytes: int(operator.MaxDedupBytes),
+			MaxCompletedUnsafe: operator.MaxCompletedUnsafe,
 		},
 		Blocks: block.Limits{
-			Transfers: operator.MaxTransfers, Body: dispatch.MaxBodySize, Bytes: int(operator.MaxTransferBytes),
-			Idle: blockTransferIdle, Size: blockSize,
+			MaxTransfers: operator.MaxTransfers, MaxBodySize: dispatch.MaxBodySize, MaxTotalSize: int(operator.MaxTransferBytes),
+			IdleTimeout: blockTransferIdle, MaxBlockSize: blockSize,
 		},
 		Classes: protocolClasses, DeadlineTimes: maxDeadlineRatio, Observers: operator.MaxObservers, ObserveEvery: operator.ObserveInterval,
 		Trusted: trusted, Clean: operator.FirstRun, EchoKey: key, EchoAge: echoLifetime, Seed: seed ^ serverSeedMask,
--- a/internal/sidecar/coapserver/statefile.go
+++ b/internal/sidecar/coapserver/statefile.go
@@ -101,7 +101,7 @@
 // parseRecord parses a shutdown record of the machine's present boot.
 func parseRecord(text []byte) (*shutdownRecord, error) {
 	rest, ok := bytes.CutPrefix(text, []byte(recordHeader))
-	if !ok || len(rest) < sha256.Size || len(text) > exchange.MostCarried {
+	if !ok || len(rest) < sha256.Size || len(text) > exchange.MaxTableSize {
 		return nil, fmt.Errorf("%w: %d bytes", errMalformedRecord, len(text))
 	}
 	body, checksum := rest[:len(rest)-sha256.Size], rest[len(rest)-sha256.Size:]
--- a/internal/sidecar/coapupstream/pool.go
+++ b/internal/sidecar/coapupstream/pool.go
@@ -31,7 +31,7 @@
 func New(settings caller.Settings, maxSockets int) *Pool {
 	// Requests are sent at once: the balancer bounds an upstream's load, and would not
 	// see a request that NSTART holds back here (RFC 7252, section 4.7).
-	settings.Params.NStart = settings.Limits.Open
+	settings.Params.NStart = settings.Limits.MaxInFlight
 	return &Pool{settings: settings, maxSockets: maxSockets}
 }
 
--- a/internal/sidecar/coapupstream/pool_test.go
+++ b/internal/sidecar/coapupstream/pool_test.go
@@ -41,7 +41,7 @@
 				return
 			}
 			var m message.Message
-			if message.Decode(buf[:n], &m) != nil || !m.Code.Request() {
+			if message.Decode(buf[:n], &m) != nil || !m.Code.IsRequest() {
 				continue
 			}
 			received.Add(1)
@@ -108,9 +108,9 @@
 }
 
 func newPool(maxSockets int) *Pool {
-	p := exchange.Defaults()
-	p.AckTimeout, p.AckAfter = 100*time.Millisecond, 25*time.Millisecond
-	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{Open: 64, Heard: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, maxSockets)
+	p := exchange.DefaultParams()
+	p.AckTimeout, p.AckDelay = 100*time.Millisecond, 25*time.Millisecond
+	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{MaxInFlight: 64, MaxDedupEntries: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, maxSockets)
 }
 
 // A non-idempotent request to misbehaving servers is rejected, or sent to another server,
--- a/internal/sidecar/coapupstream/socket.go
+++ b/internal/sidecar/coapupstream/socket.go
@@ -116,7 +116,7 @@
 
 // read receives datagrams until conn is closed.
 func (s *socket) read(conn *net.UDPConn) {
-	buffer := make([]byte, message.MostDatagram+1)
+	buffer := make([]byte, message.MaxDatagramSize+1)
 	for {
 		n, err := conn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
