--- a/internal/coap/caller/caller.go
+++ b/internal/coap/client/client.go
@@ -2,7 +2,7 @@
 // 9175): it turns requests into datagrams, and what comes back, or does not, into
 // how an attempt ended and whether it can have run. It does no I/O, has no clock
 // and starts no goroutine. docs/design/coap.md has the endings as a table.
-package caller
+package client
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 	"otterspring/internal/coap/block"
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 )
 
@@ -173,17 +173,17 @@
 	if r.ContentFormat >= 0 && !r.Safe {
 		m.AddUint(message.ContentFormat, uint32(r.ContentFormat))
 	}
-	m.AddUint(gate.OptDeadline, uint32(max(1, r.Deadline.Milliseconds())))
+	m.AddUint(server.OptDeadline, uint32(max(1, r.Deadline.Milliseconds())))
 	for _, o := range []struct {
 		n    message.Number
 		text string
-	}{{gate.OptRequestID, r.ID}, {gate.OptTenant, r.Tenant}, {gate.OptIdempotency, r.Idempotency}, {gate.OptKey, r.Key}} {
+	}{{server.OptRequestID, r.ID}, {server.OptTenant, r.Tenant}, {server.OptIdempotency, r.Idempotency}, {server.OptKey, r.Key}} {
 		if o.text != "" {
 			m.Add(o.n, []byte(o.text))
 		}
 	}
 	if r.Again {
-		m.Add(gate.OptRetry, nil)
+		m.Add(server.OptRetry, nil)
 	}
 	return m
 }
@@ -356,7 +356,7 @@
 
 // notRun tells whether an answer says that the request has not run.
 func notRun(m *message.Message) bool {
-	_, there := m.Get(gate.OptNotRun)
+	_, there := m.Get(server.OptNotRun)
 	return there && (m.Code == message.ServiceUnavailable || m.Code == message.TooManyRequests)
 }
 
--- a/internal/coap/caller/caller_test.go
+++ b/internal/coap/client/client_test.go
@@ -1,4 +1,4 @@
-package caller
+package client
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"otterspring/internal/coap/block"
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 )
 
@@ -28,8 +28,8 @@
 	t      interface{ Fatalf(string, ...any) }
 	rng    *rand.Rand
 	now    time.Duration
-	caller *Caller
-	server *gate.Gate
+	client *Caller
+	server *server.Gate
 	demand bool
 	work   time.Duration
 	body   []byte // of every answer
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	w.caller = c
+	w.client = c
 	w.restart()
 	return w
 }
@@ -76,10 +76,10 @@
 	w.lives++
 	p := exchange.DefaultParams()
 	p.AckTimeout, p.AckDelay = 100*time.Millisecond, 30*time.Millisecond
-	g, err := gate.New(gate.Settings{
+	g, err := server.New(server.Settings{
 		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: 1000, MaxDedupEntries: 5000, MaxDedupBytes: 1 << 20},
 		Blocks:        block.Limits{MaxTransfers: 10, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
-		Classes:       map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: time.Hour}, "start-rec": {Effect: gate.Once, Deadline: time.Hour}},
+		Classes:       map[string]server.Class{"roster": {Effect: server.Repeat, Deadline: time.Hour}, "start-rec": {Effect: server.Once, Deadline: time.Hour}},
 		DeadlineTimes: 4, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, Demand: w.demand, EchoKey: fmt.Appendf(nil, "the key of life %08d", w.lives), EchoAge: 10 * time.Second, Seed: w.lives,
 	})
@@ -119,12 +119,12 @@
 	}
 }
 
-func (w *world) served(acts []gate.Action) {
+func (w *world) served(acts []server.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case gate.Send:
+		case server.Send:
 			w.fly(false, a.Datagram)
-		case gate.Ask:
+		case server.Ask:
 			w.ran[a.Request.ID]++
 			w.runs = append(w.runs, run{w.now + w.work, a.Request.Handle, w.lives})
 		}
@@ -140,7 +140,7 @@
 	for _, r := range w.runs {
 		next = min(next, r.at)
 	}
-	if at, ok := w.caller.Next(); ok {
+	if at, ok := w.client.Next(); ok {
 		next = min(next, at)
 	}
 	if at, ok := w.server.Next(); ok {
@@ -156,7 +156,7 @@
 		case f.toServer:
 			w.served(w.server.Receive(w.now, here, f.text, nil))
 		default:
-			w.carry(w.caller.Receive(w.now, f.text, nil))
+			w.carry(w.client.Receive(w.now, f.text, nil))
 		}
 	}
 	w.runs = slices.DeleteFunc(w.runs, func(r run) bool {
@@ -164,11 +164,11 @@
 			return false
 		}
 		if r.life == w.lives {
-			w.served(w.server.Answer(w.now, r.handle, gate.Answer{Outcome: gate.Served, Body: w.body, ContentFormat: 42}, nil))
+			w.served(w.server.Answer(w.now, r.handle, server.Answer{Outcome: server.Served, Body: w.body, ContentFormat: 42}, nil))
 		}
 		return true
 	})
-	w.carry(w.caller.Tick(w.now, nil))
+	w.carry(w.client.Tick(w.now, nil))
 	w.served(w.server.Tick(w.now, nil))
 }
 
@@ -184,7 +184,7 @@
 	if unsafe {
 		r.Target, r.ContentFormat = "/start-rec", 50
 	}
-	w.carry(w.caller.Begin(w.now, handle, r, nil))
+	w.carry(w.client.Begin(w.now, handle, r, nil))
 }
 
 // Whatever the link does and however often the server starts anew: an unsafe
@@ -228,7 +228,7 @@
 			case e.Ending == Served && (w.ran[id] == 0 || len(e.Body) != len(w.body)):
 				t.Fatalf("%s was served %d bytes, ran %d times", id, len(e.Body), w.ran[id])
 			}
-			if w.caller.byName[h] != nil {
+			if w.client.byName[h] != nil {
 				t.Fatalf("%s is left", id)
 			}
 		}
@@ -239,8 +239,8 @@
 				t.Fatalf("%s must not run twice and ran %d times", id, n)
 			}
 		}
-		if len(w.caller.byOut) > 0 || w.caller.Open() > 0 {
-			t.Fatalf("left: %d, %d", len(w.caller.byOut), w.caller.Open())
+		if len(w.client.byOut) > 0 || w.client.Open() > 0 {
+			t.Fatalf("left: %d, %d", len(w.client.byOut), w.client.Open())
 		}
 	})
 }
@@ -283,26 +283,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.carry(w.caller.Receive(w.now, text, nil))
+			w.carry(w.client.Receive(w.now, text, nil))
 		}
 	}
 	bare := func(kind message.Type) func(w *world, m message.Message) {
 		return func(w *world, m message.Message) {
 			text, _ := (&message.Message{Type: kind, ID: m.ID}).Append(nil)
-			w.carry(w.caller.Receive(w.now, text, nil))
+			w.carry(w.client.Receive(w.now, text, nil))
 		}
 	}
 	nothing := func(*world, message.Message) {}
-	refused := func(w *world, _ message.Message) { w.carry(w.caller.Unreachable(w.now, nil)) }
+	refused := func(w *world, _ message.Message) { w.carry(w.client.Unreachable(w.now, nil)) }
 	for name, c := range map[string]struct {
 		do   []func(w *world, m message.Message) // for each datagram that comes
 		body int
 		want Ending
 	}{
 		"served":                        {[]func(*world, message.Message){answer(message.Changed)}, 0, Served},
-		"turned away, not run":          {[]func(*world, message.Message){answer(message.ServiceUnavailable, gate.OptNotRun, "")}, 0, TurnedAway},
+		"turned away, not run":          {[]func(*world, message.Message){answer(message.ServiceUnavailable, server.OptNotRun, "")}, 0, TurnedAway},
 		"turned away, no word of it":    {[]func(*world, message.Message){answer(message.ServiceUnavailable)}, 0, Erred},
-		"not run of another code":       {[]func(*world, message.Message){answer(message.InternalServerError, gate.OptNotRun, "")}, 0, Erred},
+		"not run of another code":       {[]func(*world, message.Message){answer(message.InternalServerError, server.OptNotRun, "")}, 0, Erred},
 		"an error":                      {[]func(*world, message.Message){answer(message.InternalServerError)}, 0, Erred},
 		"rejected at once":              {[]func(*world, message.Message){bare(message.Reset)}, 0, NotThere},
 		"rejected after a repeat":       {[]func(*world, message.Message){answer(message.Unauthorized, message.Echo, "v"), nothing, bare(message.Reset)}, 0, Broken},
@@ -320,12 +320,12 @@
 			w.ask(1, true, make([]byte, c.body))
 			for i := 0; len(w.ends[1]) == 0; {
 				if len(w.flying) == 0 {
-					at, ok := w.caller.Next()
+					at, ok := w.client.Next()
 					if !ok {
 						t.Fatal("nothing is planned, and it has not ended")
 					}
 					w.now = at
-					w.carry(w.caller.Tick(w.now, nil))
+					w.carry(w.client.Tick(w.now, nil))
 					continue
 				}
 				f := w.flying[0]
--- a/internal/coap/caller/escape.go
+++ b/internal/coap/client/escape.go
@@ -1,4 +1,4 @@
-package caller
+package client
 
 import "net/url"
 
--- a/internal/coap/gate/gate.go
+++ b/internal/coap/server/server.go
@@ -6,7 +6,7 @@
 // What it decides: which requests are well formed, which may run, which are a
 // repeat of one that ran or may have run before this process began, and what is
 // turned away for want of room. docs/design/coap.md says why.
-package gate
+package server
 
 import (
 	"encoding/binary"
--- a/internal/coap/gate/gate_test.go
+++ b/internal/coap/server/server_test.go
@@ -1,4 +1,4 @@
-package gate
+package server
 
 import (
 	"bytes"
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -48,7 +48,7 @@
 		"internal/sidecar/httpserver":      {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery":       {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/fleet/endpointlist":      {"./internal/fleet/supervisor"},
-		"internal/coap/exchange":           {"./internal/coap/gate"},
+		"internal/coap/exchange":           {"./internal/coap/server"},
 		"internal/sidecar/coapserver":               {"./internal/sidecar"},
 		"internal/sidecar/dispatch":        {"./internal/sidecar", "./internal/sidecar/entrypoint"},
 		"internal/sidecar":                 {"./internal/sidecar/entrypoint"},
--- a/internal/lab/rig/coap_test.go
+++ b/internal/lab/rig/coap_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/lab/standin/coapclient"
 	"otterspring/internal/lab/standin/lossylink"
@@ -124,10 +124,10 @@
 		wg.Go(func() {
 			m := message.Message{Type: message.Confirmable, Code: message.POST}
 			m.Add(message.URIPath, []byte("join"))
-			m.Add(gate.OptRequestID, []byte("c-"+key))
-			m.Add(gate.OptIdempotency, []byte(key))
-			m.Add(gate.OptKey, []byte(call))
-			m.AddUint(gate.OptDeadline, 20_000)
+			m.Add(server.OptRequestID, []byte("c-"+key))
+			m.Add(server.OptIdempotency, []byte(key))
+			m.Add(server.OptKey, []byte(call))
+			m.AddUint(server.OptDeadline, 20_000)
 			r, err := device.Do(ctx, m, []byte("x"))
 			if err != nil {
 				t.Error(err)
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -12,8 +12,8 @@
 
 	"otterspring/internal/coap/block"
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
 	"otterspring/internal/coap/message"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/lab/audit"
 )
 
@@ -31,9 +31,9 @@
 	start time.Time
 	ended chan struct{}
 
-	mu    sync.Mutex
-	gate  *gate.Gate
-	timer *time.Timer
+	mu     sync.Mutex
+	server *server.Gate
+	timer  *time.Timer
 }
 
 // listenCoAP opens addr, which may carry its scheme, for a new life.
@@ -44,14 +44,14 @@
 	}
 	key := make([]byte, 32)
 	rand.Read(key)
-	classes := map[string]gate.Class{}
-	effects := map[audit.Effect]gate.Effect{audit.Repeat: gate.Repeat, audit.Keyed: gate.Keyed, audit.Once: gate.Once}
+	classes := map[string]server.Class{}
+	effects := map[audit.Effect]server.Effect{audit.Repeat: server.Repeat, audit.Keyed: server.Keyed, audit.Once: server.Once}
 	for name, c := range s.classes {
-		classes[name] = gate.Class{Effect: effects[c.Effect], Deadline: time.Hour}
+		classes[name] = server.Class{Effect: effects[c.Effect], Deadline: time.Hour}
 	}
 	p := exchange.DefaultParams()
 	p.AckDelay = 20 * time.Millisecond
-	g, err := gate.New(gate.Settings{
+	g, err := server.New(server.Settings{
 		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: s.cfg.Queue + 1000, MaxDedupEntries: 1 << 20, MaxDedupBytes: 64 << 20},
 		Blocks:  block.Limits{MaxTransfers: 1000, MaxBodySize: 64 << 10, MaxTotalSize: 64 << 20, IdleTimeout: time.Minute, MaxBlockSize: 1024},
 		Classes: classes, DeadlineTimes: 1, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
@@ -64,7 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("call server %s: %w", s.cfg.Name, err)
 	}
-	c := &coapSide{srv: s, conn: conn, start: time.Now(), ended: make(chan struct{}), gate: g}
+	c := &coapSide{srv: s, conn: conn, start: time.Now(), ended: make(chan struct{}), server: g}
 	c.timer = time.AfterFunc(time.Hour, c.tick)
 	s.mu.Lock()
 	s.coap, s.addr = c, coapScheme+conn.LocalAddr().String()
@@ -84,7 +84,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.Counts().Duplicates
+	return c.server.Counts().Duplicates
 }
 
 // crashCoAP ends the present life over CoAP: what it held is forgotten, and what
@@ -114,7 +114,7 @@
 		}
 		peer = netip.AddrPortFrom(peer.Addr().Unmap(), peer.Port())
 		c.mu.Lock()
-		c.carry(c.gate.Receive(time.Since(c.start), peer, buf[:n], nil))
+		c.carry(c.server.Receive(time.Since(c.start), peer, buf[:n], nil))
 	}
 }
 
@@ -126,38 +126,38 @@
 
 func (c *coapSide) tick() {
 	c.mu.Lock()
-	c.carry(c.gate.Tick(time.Since(c.start), nil))
+	c.carry(c.server.Tick(time.Since(c.start), nil))
 }
 
-// carry does what the gate decided; it gives the mutex back.
-func (c *coapSide) carry(acts []gate.Action) {
-	if at, ok := c.gate.Next(); ok {
+// carry does what the CoAP server decided; it gives the mutex back.
+func (c *coapSide) carry(acts []server.Action) {
+	if at, ok := c.server.Next(); ok {
 		c.timer.Reset(max(0, at-time.Since(c.start)))
 	}
 	c.mu.Unlock()
 	for i := range acts {
 		switch acts[i].Kind {
-		case gate.Send:
+		case server.Send:
 			if !c.srv.vanished() {
 				c.conn.WriteToUDPAddrPort(acts[i].Datagram, acts[i].Peer)
 			}
-		case gate.Ask:
+		case server.Ask:
 			c.ask(&acts[i].Request)
 		}
 	}
 }
 
 // ask works on a request.
-func (c *coapSide) ask(r *gate.Request) {
+func (c *coapSide) ask(r *server.Request) {
 	s := c.srv
 	f := s.drawFault()
 	if f.Refuse {
-		c.finish(r.Handle, gate.Answer{Outcome: gate.NotRun})
+		c.finish(r.Handle, server.Answer{Outcome: server.NotRun})
 		return
 	}
 	j := s.submit(r.ID, r.Key, r.Idempotency, s.classes[r.Class], s.log.Now(), 0)
 	if j == nil {
-		c.finish(r.Handle, gate.Answer{Outcome: gate.NotRun})
+		c.finish(r.Handle, server.Answer{Outcome: server.NotRun})
 		return
 	}
 	handle, id, wait := r.Handle, r.ID, r.Deadline
@@ -171,15 +171,15 @@
 		defer over.Stop()
 		select {
 		case <-over.C:
-			a := gate.Answer{Outcome: gate.Failed}
+			a := server.Answer{Outcome: server.Failed}
 			if s.cancel(j) {
-				a.Outcome = gate.NotRun
+				a.Outcome = server.NotRun
 			}
 			c.finish(handle, a)
 		case <-j.done:
-			a := gate.Answer{Outcome: gate.Served, Body: []byte(Body(id, s.cfg.Name)), ContentFormat: 0}
+			a := server.Answer{Outcome: server.Served, Body: []byte(Body(id, s.cfg.Name)), ContentFormat: 0}
 			if f.Error {
-				a = gate.Answer{Outcome: gate.Failed}
+				a = server.Answer{Outcome: server.Failed}
 			}
 			if !s.hung() {
 				c.finish(handle, a)
@@ -190,7 +190,7 @@
 	}()
 }
 
-func (c *coapSide) finish(handle uint64, a gate.Answer) {
+func (c *coapSide) finish(handle uint64, a server.Answer) {
 	c.mu.Lock()
-	c.carry(c.gate.Answer(time.Since(c.start), handle, a, nil))
+	c.carry(c.server.Answer(time.Since(c.start), handle, a, nil))
 }
--- a/internal/lab/standin/clients/coap.go
+++ b/internal/lab/standin/clients/coap.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/standin/callserver"
@@ -59,19 +59,19 @@
 		m.Code = message.GET
 	}
 	m.Add(message.URIPath, []byte(class.Name))
-	m.Add(gate.OptRequestID, []byte(id))
-	m.AddUint(gate.OptDeadline, uint32(max(1, wait.Milliseconds())))
+	m.Add(server.OptRequestID, []byte(id))
+	m.AddUint(server.OptDeadline, uint32(max(1, wait.Milliseconds())))
 	if a.Key != "" {
-		m.Add(gate.OptKey, []byte(a.Key))
+		m.Add(server.OptKey, []byte(a.Key))
 	}
 	if a.Tenant > 0 {
-		m.Add(gate.OptTenant, []byte(c.cfg.Tenants[a.Tenant-1].Name))
+		m.Add(server.OptTenant, []byte(c.cfg.Tenants[a.Tenant-1].Name))
 	}
 	if class.Effect == audit.Keyed {
-		m.Add(gate.OptIdempotency, []byte(op))
+		m.Add(server.OptIdempotency, []byte(op))
 	}
 	if n > 0 && !c.cfg.Unmarked {
-		m.Add(gate.OptRetry, nil)
+		m.Add(server.OptRetry, nil)
 	}
 	var body []byte
 	if m.Code == message.POST {
--- a/internal/sidecar/coapserver/request.go
+++ b/internal/sidecar/coapserver/request.go
@@ -9,7 +9,7 @@
 
 	"otterspring/balance"
 	"otterspring/internal/coap/format"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/sidecar/dispatch"
 )
 
@@ -21,12 +21,12 @@
 type request struct {
 	server     *Server
 	call       dispatch.Request
-	received   gate.Request
+	received   server.Request
 	bodyLength atomic.Int64
 }
 
 // newRequest registers a request. The server's mu is locked.
-func (s *Server) newRequest(received gate.Request) *request {
+func (s *Server) newRequest(received server.Request) *request {
 	r := &request{server: s, received: received}
 	s.pending[received.Handle] = r
 	r.call.ID = received.ID
@@ -71,7 +71,7 @@
 		r.call.Body = dispatch.NewBody(s.bodies, &r.bodyLength)
 		if err := r.call.Body.Fill(bytes.NewReader(received.Body), len(received.Body)); err != nil {
 			r.call.Body.Release()
-			s.answer(r, gate.Answer{Outcome: gate.Refused, Wait: rejectionDelay})
+			s.answer(r, server.Answer{Outcome: server.Refused, Wait: rejectionDelay})
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 		ID: r.call.ID, Class: received.Class, Tenant: received.Tenant, Key: received.Key, Again: received.Again, Deadline: received.Deadline,
 	}) {
 		body.Release()
-		s.answer(r, gate.Answer{Outcome: gate.Conflicting})
+		s.answer(r, server.Answer{Outcome: server.Conflicting})
 	}
 }
 
@@ -99,21 +99,21 @@
 }
 
 // answer passes the answer to a pending request to the protocol.
-func (s *Server) answer(r *request, answer gate.Answer) {
+func (s *Server) answer(r *request, answer server.Answer) {
 	s.mu.Lock()
 	delete(s.pending, r.received.Handle)
 	s.execute(s.protocol.Answer(s.now(), r.received.Handle, answer, nil))
 }
 
 // answerOf returns the dispatcher's result as an answer. It releases the response.
-func answerOf(result *dispatch.Result) gate.Answer {
+func answerOf(result *dispatch.Result) server.Answer {
 	switch result.Kind {
 	case balance.Refuse:
-		return gate.Answer{Outcome: gate.Refused, Wait: result.RetryAfter}
+		return server.Answer{Outcome: server.Refused, Wait: result.RetryAfter}
 	case balance.Fail:
-		return gate.Answer{Outcome: gate.Failed}
+		return server.Answer{Outcome: server.Failed}
 	}
-	answer := gate.Answer{Outcome: gate.Served, Body: bytes.Clone(result.Response.Body()), ContentFormat: -1}
+	answer := server.Answer{Outcome: server.Served, Body: bytes.Clone(result.Response.Body()), ContentFormat: -1}
 	if contentType := result.Response.ContentType(); len(contentType) > 0 {
 		answer.ContentFormat = format.Number(strings.Clone(string(contentType)))
 	}
--- a/internal/sidecar/coapserver/server.go
+++ b/internal/sidecar/coapserver/server.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/sidecar/dispatch"
 )
@@ -36,7 +36,7 @@
 	start      time.Time
 
 	mu         sync.Mutex
-	protocol   *gate.Gate
+	protocol   *server.Gate
 	pending    map[uint64]*request // by handle
 	timer      *time.Timer
 	random     *rand.Rand
@@ -94,9 +94,9 @@
 
 // openProtocol returns the protocol's state machine, with the state that an earlier
 // process has saved.
-func openProtocol(settings *Settings) (*stateFile, *gate.Gate, error) {
+func openProtocol(settings *Settings) (*stateFile, *server.Gate, error) {
 	if settings.StatePath == "" {
-		protocol, err := gate.New(settings.Protocol)
+		protocol, err := server.New(settings.Protocol)
 		return nil, protocol, err
 	}
 	file, previous, err := openStateFile(settings.StatePath)
@@ -105,7 +105,7 @@
 	}
 	reason := previous.unknown
 	settings.Protocol.Clean = reason == nil
-	protocol, err := gate.New(settings.Protocol)
+	protocol, err := server.New(settings.Protocol)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -114,7 +114,7 @@
 		if err := protocol.Continue(0, record.age(), record.Table, uncertainFor, false); err != nil {
 			reason = err
 			settings.Protocol.Clean = false
-			if protocol, err = gate.New(settings.Protocol); err != nil {
+			if protocol, err = server.New(settings.Protocol); err != nil {
 				return nil, nil, err
 			}
 		}
@@ -130,7 +130,7 @@
 func (s *Server) Addr() string { return s.conn.LocalAddr().String() }
 
 // Counts returns the protocol's counts, and how many datagrams the kernel rejected.
-func (s *Server) Counts() (counts gate.Counts, unsent int64) {
+func (s *Server) Counts() (counts server.Counts, unsent int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.protocol.Counts(), s.unsent.Load()
@@ -195,19 +195,19 @@
 
 // execute carries out the protocol's actions. It is called with mu locked, and unlocks it
 // before it sends or submits.
-func (s *Server) execute(actions []gate.Action) {
+func (s *Server) execute(actions []server.Action) {
 	if due, ok := s.protocol.Next(); ok {
 		s.timer.Reset(max(0, due-s.now()))
 	}
 	var submissions []*request
 	for i := range actions {
-		if actions[i].Kind == gate.Ask {
+		if actions[i].Kind == server.Ask {
 			submissions = append(submissions, s.newRequest(actions[i].Request))
 		}
 	}
 	s.mu.Unlock()
 	for i := range actions {
-		if actions[i].Kind == gate.Send {
+		if actions[i].Kind == server.Send {
 			if _, err := s.conn.WriteToUDPAddrPort(actions[i].Datagram, actions[i].Peer); err != nil {
 				s.unsent.Add(1) // handled like a datagram that the network lost
 			}
--- a/internal/sidecar/coapserver/server_test.go
+++ b/internal/sidecar/coapserver/server_test.go
@@ -14,7 +14,7 @@
 	"otterspring/balance"
 	"otterspring/internal/coap/block"
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/lab/standin/coapclient"
 	"otterspring/internal/lab/standin/lossylink"
@@ -77,10 +77,10 @@
 	dispatcher.UpdateEndpoints(balance.ListFull, dispatch.EndpointList{Version: 1, Snapshot: true, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s1", State: balance.Ready}, Address: "127.0.0.1:1"}}}, 0)
 	p := exchange.DefaultParams()
 	p.AckTimeout, p.AckDelay = 200*time.Millisecond, 50*time.Millisecond
-	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Protocol: gate.Settings{
+	set := Settings{Listen: "127.0.0.1:0", Bodies: dispatch.NewBudget(8 << 20), Protocol: server.Settings{
 		Params: p, Limits: exchange.ServerLimits{MaxPendingRequests: 256, MaxDedupEntries: 4096, MaxDedupBytes: 1 << 20},
 		Blocks:  block.Limits{MaxTransfers: 16, MaxBodySize: 64 << 10, MaxTotalSize: 1 << 20, IdleTimeout: patience, MaxBlockSize: 1024},
-		Classes: map[string]gate.Class{"roster": {Effect: gate.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: gate.Once, Deadline: 30 * time.Second}},
+		Classes: map[string]server.Class{"roster": {Effect: server.Repeat, Deadline: 30 * time.Second}, "start-rec": {Effect: server.Once, Deadline: 30 * time.Second}},
 
 		DeadlineTimes: 4, Observers: 8, ObserveEvery: 50 * time.Millisecond, Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Clean: true, EchoKey: []byte("0123456789abcdef"), EchoAge: time.Minute, Seed: 1,
@@ -117,7 +117,7 @@
 		m.Add(message.URIPath, []byte(p))
 	}
 	if id != "" {
-		m.Add(gate.OptRequestID, []byte(id))
+		m.Add(server.OptRequestID, []byte(id))
 	}
 	return m
 }
--- a/internal/sidecar/coapserver/settings.go
+++ b/internal/sidecar/coapserver/settings.go
@@ -8,9 +8,9 @@
 
 	"otterspring/balance"
 	"otterspring/internal/coap/block"
-	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/client"
 	"otterspring/internal/coap/exchange"
-	"otterspring/internal/coap/gate"
+	"otterspring/internal/coap/server"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/operatorconfig"
 )
@@ -40,7 +40,7 @@
 // Settings are a server's bounds and what it is connected to.
 type Settings struct {
 	Listen   string // IP address of one machine, and a port; never multicast
-	Protocol gate.Settings
+	Protocol server.Settings
 	Bodies   *dispatch.Budget // memory of request bodies, shared with other servers
 	// StatePath is the file in which a process saves the state that its successor
 	// needs; empty for none. With it Protocol.Clean is set by what the file holds.
@@ -51,11 +51,11 @@
 }
 
 // UpstreamSettings returns the settings for upstreams over CoAP.
-func UpstreamSettings(operator *operatorconfig.CoAP, seed uint64) caller.Settings {
+func UpstreamSettings(operator *operatorconfig.CoAP, seed uint64) client.Settings {
 	params := exchange.DefaultParams()
 	params.AckTimeout = operator.AckTimeout
 	params.AckDelay = params.AckTimeout / ackDelayDivisor
-	return caller.Settings{
+	return client.Settings{
 		Params: params, Limits: exchange.ClientLimits{MaxInFlight: maxUpstreamRequests, MaxDedupEntries: maxUpstreamRequests}, Body: dispatch.MaxBodySize,
 		Block: blockSize, EchoFor: upstreamEchoLifetime, Seed: seed ^ upstreamSeedMask,
 	}
@@ -67,16 +67,16 @@
 func SettingsFromOperator(operator *operatorconfig.CoAP, classes []balance.Class, maxDeadlineRatio float64, seed uint64, bodies *dispatch.Budget) Settings {
 	key := make([]byte, echoKeyBytes)
 	rand.Read(key) // never fails
-	effects := map[balance.Effect]gate.Effect{balance.Repeat: gate.Repeat, balance.Keyed: gate.Keyed, balance.Once: gate.Once}
-	protocolClasses := map[string]gate.Class{}
+	effects := map[balance.Effect]server.Effect{balance.Repeat: server.Repeat, balance.Keyed: server.Keyed, balance.Once: server.Once}
+	protocolClasses := map[string]server.Class{}
 	for _, class := range classes {
-		protocolClasses[class.Name] = gate.Class{Effect: effects[class.Effect], Deadline: class.Deadline}
+		protocolClasses[class.Name] = server.Class{Effect: effects[class.Effect], Deadline: class.Deadline}
 	}
 	var trusted []netip.Prefix
 	for _, network := range operator.TrustedNetworks {
 		trusted = append(trusted, network.Prefix)
 	}
-	return Settings{Listen: operator.Listen, Bodies: bodies, StatePath: operator.StatePath, Protocol: gate.Settings{
+	return Settings{Listen: operator.Listen, Bodies: bodies, StatePath: operator.StatePath, Protocol: server.Settings{
 		Params: exchange.DefaultParams(),
 		Limits: exchange.ServerLimits{
 			MaxPendingRequests: operator.MaxPendingRequests, MaxDedupEntries: operator.MaxDedupEntries, MaxDedupBytes: int(operator.MaxDedupBytes),
--- a/internal/sidecar/coapserver/statefile_test.go
+++ b/internal/sidecar/coapserver/statefile_test.go
@@ -13,9 +13,9 @@
 	"otterspring/internal/coap/message"
 )
 
-// client is one endpoint for all incarnations: a retransmission has the source of the
+// deviceConn is one endpoint for all incarnations: a retransmission has the source of the
 // first datagram.
-var client = func() *net.UDPConn {
+var deviceConn = func() *net.UDPConn {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		panic(err)
@@ -25,7 +25,7 @@
 
 func setDeadline(t *testing.T, deadline time.Time) {
 	t.Helper()
-	if err := client.SetDeadline(deadline); err != nil {
+	if err := deviceConn.SetDeadline(deadline); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -40,7 +40,7 @@
 	// Discard retransmissions of an earlier incarnation.
 	setDeadline(t, time.Now().Add(20*time.Millisecond))
 	for {
-		if _, err := client.Read(buf); err != nil {
+		if _, err := deviceConn.Read(buf); err != nil {
 			break
 		}
 	}
@@ -52,11 +52,11 @@
 			t.Fatal(err)
 		}
 		setDeadline(t, time.Now().Add(patience))
-		if _, err := client.WriteToUDPAddrPort(text, netip.MustParseAddrPort(f.Addr())); err != nil {
+		if _, err := deviceConn.WriteToUDPAddrPort(text, netip.MustParseAddrPort(f.Addr())); err != nil {
 			t.Fatal(err)
 		}
 		for {
-			n, err := client.Read(buf)
+			n, err := deviceConn.Read(buf)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/coapupstream/pool.go
+++ b/internal/sidecar/coapupstream/pool.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/client"
 	"otterspring/internal/sidecar/dispatch"
 )
 
@@ -21,14 +21,14 @@
 
 // Pool opens upstreams and bounds their sockets. It is safe for concurrent use.
 type Pool struct {
-	settings   caller.Settings
+	settings   client.Settings
 	maxSockets int
 	sockets    atomic.Int64
 	seeds      atomic.Uint64
 }
 
 // New returns a pool of at most maxSockets sockets.
-func New(settings caller.Settings, maxSockets int) *Pool {
+func New(settings client.Settings, maxSockets int) *Pool {
 	// Requests are sent at once: the balancer bounds an upstream's load, and would not
 	// see a request that NSTART holds back here (RFC 7252, section 4.7).
 	settings.Params.NStart = settings.Limits.MaxInFlight
@@ -132,17 +132,17 @@
 
 // statusOf returns the status of an attempt that has ended, and the response of one that
 // succeeded.
-func statusOf(result *caller.Action) (balance.Status, dispatch.Response) {
+func statusOf(result *client.Action) (balance.Status, dispatch.Response) {
 	switch result.Ending {
-	case caller.Served:
+	case client.Served:
 		return balance.OK, newResponse(result)
-	case caller.TurnedAway:
+	case client.TurnedAway:
 		return balance.Full, nil
-	case caller.NotThere:
+	case client.NotThere:
 		return balance.ConnectFailed, nil
-	case caller.Erred:
+	case client.Erred:
 		return balance.Error, nil
-	case caller.Silent:
+	case client.Silent:
 		return balance.Timeout, nil
 	}
 	return balance.Reset, nil
--- a/internal/sidecar/coapupstream/pool_test.go
+++ b/internal/sidecar/coapupstream/pool_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/client"
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/sidecar/dispatch"
@@ -65,11 +65,11 @@
 
 func (native) Neutral() dispatch.Message { return dispatch.Message{Target: "/act", ID: "id"} }
 
-// client is the connection of a request's client, which the dispatcher wakes.
-type client struct{}
+// requestConn is the connection of a request's client, which the dispatcher wakes.
+type requestConn struct{}
 
-func (client) SetDeadline(time.Time) error     { return nil }
-func (client) SetReadDeadline(time.Time) error { return nil }
+func (requestConn) SetDeadline(time.Time) error     { return nil }
+func (requestConn) SetReadDeadline(time.Time) error { return nil }
 
 // submit submits one non-idempotent request to the servers given, and returns the kind of
 // its result.
@@ -88,7 +88,7 @@
 		l.Endpoints = append(l.Endpoints, dispatch.Endpoint{Server: balance.Server{ID: a, State: balance.Ready}, Address: a})
 	}
 	dispatcher.UpdateEndpoints(balance.ListFull, l, 0)
-	c := &dispatch.Request{ID: "id", Native: native{}, Conn: client{}, Done: make(chan struct{})}
+	c := &dispatch.Request{ID: "id", Native: native{}, Conn: requestConn{}, Done: make(chan struct{})}
 	if !dispatcher.Submit(c, balance.Request{ID: "id", Class: "act", Deadline: deadline}) {
 		t.Fatal("the request was not accepted")
 	}
@@ -110,7 +110,7 @@
 func newPool(maxSockets int) *Pool {
 	p := exchange.DefaultParams()
 	p.AckTimeout, p.AckDelay = 100*time.Millisecond, 25*time.Millisecond
-	return New(caller.Settings{Params: p, Limits: exchange.ClientLimits{MaxInFlight: 64, MaxDedupEntries: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, maxSockets)
+	return New(client.Settings{Params: p, Limits: exchange.ClientLimits{MaxInFlight: 64, MaxDedupEntries: 64}, Body: 64 << 10, Block: 1024, EchoFor: time.Second, Seed: 1}, maxSockets)
 }
 
 // A non-idempotent request to misbehaving servers is rejected, or sent to another server,
--- a/internal/sidecar/coapupstream/response.go
+++ b/internal/sidecar/coapupstream/response.go
@@ -1,14 +1,14 @@
 package coapupstream
 
 import (
-	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/client"
 	"otterspring/internal/coap/format"
 )
 
 // response is an upstream's response. Its memory belongs to the garbage collector.
 type response struct{ body, contentType []byte }
 
-func newResponse(result *caller.Action) *response {
+func newResponse(result *client.Action) *response {
 	r := &response{body: result.Body}
 	if contentType, ok := format.Type(result.ContentFormat); ok {
 		r.contentType = []byte(contentType)
--- a/internal/sidecar/coapupstream/socket.go
+++ b/internal/sidecar/coapupstream/socket.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"otterspring/internal/coap/caller"
+	"otterspring/internal/coap/client"
 	"otterspring/internal/coap/format"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/sidecar/dispatch"
@@ -36,7 +36,7 @@
 
 	mu       sync.Mutex
 	conn     *net.UDPConn // nil before the first attempt and once closed
-	protocol *caller.Caller
+	protocol *client.Caller
 	start    time.Time
 	timer    *time.Timer
 	inFlight map[uint64]pendingAttempt // by handle
@@ -47,7 +47,7 @@
 // pendingAttempt is an attempt in flight.
 type pendingAttempt struct {
 	attempt *dispatch.Attempt
-	result  chan caller.Action // of capacity 1; closed without a result on cancellation
+	result  chan client.Action // of capacity 1; closed without a result on cancellation
 }
 
 // available reports whether a request could be sent now: whether a message ID is free.
@@ -95,7 +95,7 @@
 	}
 	settings := pool.settings
 	settings.Seed ^= pool.seeds.Add(seedStep)
-	protocol, err := caller.New(settings, peer)
+	protocol, err := client.New(settings, peer)
 	var conn *net.UDPConn
 	if err == nil {
 		conn, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(peer))
@@ -145,9 +145,9 @@
 
 // send begins the exchange of an attempt. The channel has its result, or is closed if the
 // dispatcher has canceled the attempt before it was committed.
-func (s *socket) send(attempt *dispatch.Attempt, timeout time.Duration) (uint64, <-chan caller.Action, error) {
+func (s *socket) send(attempt *dispatch.Attempt, timeout time.Duration) (uint64, <-chan client.Action, error) {
 	m := attempt.Request.Native.Neutral()
-	request := caller.Request{
+	request := client.Request{
 		Unsafe: !m.Safe, Safe: m.Safe, Target: m.Target, ID: m.ID, Idempotency: m.IdempotencyKey, Tenant: m.Tenant, Key: m.AffinityKey, Again: m.IsRetry,
 		Deadline: timeout, Body: bytes.Join(attempt.Request.Body.Chunks(), nil), ContentFormat: -1,
 	}
@@ -160,7 +160,7 @@
 		return 0, nil, err
 	}
 	s.handle++
-	result := make(chan caller.Action, 1)
+	result := make(chan client.Action, 1)
 	s.inFlight[s.handle] = pendingAttempt{attempt, result}
 	s.execute(s.protocol.Begin(s.now(), s.handle, request, nil))
 	return s.handle, result, nil
@@ -168,23 +168,23 @@
 
 // execute carries out the protocol's actions. mu is locked. A datagram that the kernel
 // does not accept at once is handled like one that the network lost.
-func (s *socket) execute(actions []caller.Action) {
+func (s *socket) execute(actions []client.Action) {
 	for i := 0; i < len(actions); i++ {
 		switch action := &actions[i]; action.Kind {
-		case caller.Commit:
+		case client.Commit:
 			// The dispatcher learns of it before the first datagram that may run the
 			// request is sent. If it has abandoned the attempt, that one is not sent.
 			if x, ok := s.inFlight[action.Handle]; ok && !x.attempt.Commit() {
-				if i+1 < len(actions) && actions[i+1].Kind == caller.Send {
+				if i+1 < len(actions) && actions[i+1].Kind == client.Send {
 					i++
 				}
 				s.abandon(action.Handle)
 			}
-		case caller.Send:
+		case client.Send:
 			if _, err := s.conn.Write(action.Datagram); errors.Is(err, syscall.ECONNREFUSED) {
 				actions = s.protocol.Unreachable(s.now(), actions)
 			}
-		case caller.End:
+		case client.End:
 			if x, ok := s.inFlight[action.Handle]; ok {
 				delete(s.inFlight, action.Handle)
 				x.result <- *action
