--- /dev/null
+++ b/balance/recording_test.go
@@ -0,0 +1,322 @@
+package balance
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var recordActions = flag.Bool("record-actions", false, "write testdata/actions.txt anew instead of comparing with it")
+
+// The recording holds for builds without fused multiply-add (amd64 below GOAMD64=v3).
+const (
+	recordingFile  = "testdata/actions.txt"
+	recordingTicks = 24000 // of one millisecond, of each run
+	recordingBlock = 400   // events for each line of the recording
+)
+
+// recordedRun is one run of the recording: a seed and what differs in its settings.
+type recordedRun struct {
+	name   string
+	seed   uint64
+	hosts  int
+	change func(*Settings)
+}
+
+var recordedRuns = []recordedRun{
+	{"all", 1, 36, func(*Settings) {}},
+	{"all", 2, 12, func(*Settings) {}},
+	{"keys", 3, 60, func(s *Settings) { s.WarmKeys, s.CanCopy = true, false }},
+	{"keys", 4, 24, func(s *Settings) { s.WarmKeys = true }},
+	{"no-cancel", 5, 24, func(s *Settings) { s.CanCancel, s.RetryAfter = false, 0 }},
+	{"no-copy", 6, 8, func(s *Settings) { s.CanCopy, s.MaxAttempts = false, 2 }},
+	{"no-tenants", 7, 200, func(s *Settings) { s.Tenants, s.OverShare, s.Subscribe = nil, 1, false }},
+	{"no-cold", 8, 16, func(s *Settings) { s.ColdTime, s.TipMultiple, s.IdleFor = 0, 0, 0 }},
+}
+
+// recordedEvent is an event that is due later.
+type recordedEvent struct {
+	at time.Duration
+	do func()
+}
+
+// recorder drives a Balancer with a drawn stream of all events and writes down what it does.
+type recorder struct {
+	run      recordedRun
+	balancer *Balancer
+	rng      *rand.Rand
+	now      time.Duration
+	due      []recordedEvent
+	list     []Server
+	open     []string
+	phase    int
+	block    []byte // text of the events since the last line
+	events   int
+	kinds    [Close + 1]int
+	total    [Close + 1]int
+	statuses [statuses]int
+	lines    []string
+}
+
+// recordedAction is the text of an action; it names no identifier of the program.
+func recordedAction(a Action) string {
+	return fmt.Sprintf("%d %q %q %d %d %d %d", int(a.Kind), a.Request, a.Server, a.Number, int64(a.Wait), int64(a.Latest), a.Token)
+}
+
+func newRecorder(t *testing.T, run recordedRun) *recorder {
+	t.Helper()
+	set := site()
+	set.Classes = append(set.Classes,
+		Class{Name: "stretched", Aim: 40 * ms, AimStretch: 3, Deadline: 700 * ms, Worth: 0.4, Effect: Repeat, Group: GroupZone},
+		Class{Name: "anywhere", Aim: 250 * ms, Deadline: 800 * ms, Worth: 5, LateWorth: 0.1, Effect: Keyed, Group: GroupAll, Window: 300 * ms},
+		Class{Name: "zonal", Aim: 150 * ms, Deadline: 600 * ms, Worth: 1, Effect: Keyed, Group: GroupZone, Window: 500 * ms})
+	set.Tenants = []Tenant{{"big", 600}, {"small", 100}, {"none", 0}}
+	set.OverShare, set.Subscribe, set.RetryAfter, set.IdleFor = 0.05, true, time.Second, 4*time.Second
+	run.change(&set)
+	b, err := New(set, run.seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &recorder{run: run, balancer: b, rng: rand.New(rand.NewPCG(run.seed, 77)), now: time.Minute, list: fleet(run.hosts)}
+}
+
+// take writes an event's actions down and plans what follows from them.
+func (r *recorder) take(event string, acts []Action) {
+	r.block = fmt.Appendf(r.block, "%d %s\n", int64(r.now), event)
+	for _, a := range acts {
+		r.block = append(append(r.block, recordedAction(a)...), '\n')
+		r.kinds[a.Kind]++
+		switch a.Kind {
+		case Timer:
+			r.later(a.Wait, func() { r.take("timer", r.balancer.Timer(r.now, a.Token, nil)) })
+		case Send:
+			r.attempt(a)
+		case Cancel:
+			if r.rng.IntN(2) == 0 {
+				r.later(0, func() { r.outcome(a, Cancelled, time.Duration(r.rng.IntN(300))*ms) })
+			}
+		case Subscribe:
+			r.later(time.Duration(1+r.rng.IntN(900))*ms, func() {
+				if r.rng.IntN(3) > 0 {
+					r.members(ListFailed, nil)
+				} else {
+					r.members(ListFull, r.list)
+				}
+			})
+		}
+	}
+	if r.events++; r.events%recordingBlock == 0 {
+		r.flush()
+	}
+}
+
+func (r *recorder) flush() {
+	sum := sha256.Sum256(r.block)
+	r.lines = append(r.lines, fmt.Sprintf("%s-%d %d %v %d %x", r.run.name, r.run.seed, r.events, r.kinds, r.balancer.Held(), sum[:12]))
+	for i, n := range r.kinds {
+		r.total[i] += n
+	}
+	r.kinds = [Close + 1]int{}
+	r.block = r.block[:0]
+}
+
+func (r *recorder) later(wait time.Duration, do func()) {
+	r.due = append(r.due, recordedEvent{r.now + wait, do})
+}
+
+// attempt draws how an attempt ends, by the phase that the run is in.
+func (r *recorder) attempt(a Action) {
+	took, status := time.Duration(2000+r.rng.IntN(30000))*time.Microsecond, OK
+	slow := strings.HasSuffix(a.Server, "3")
+	switch {
+	case r.phase == 1 && r.rng.IntN(3) == 0: // each kind of failure
+		status = Status(r.rng.IntN(int(statuses)))
+	case r.phase == 2: // overload: all is late
+		took *= 20
+		if r.rng.IntN(4) == 0 {
+			status = Timeout
+		}
+	case r.phase == 3 && slow: // some servers are dead
+		status, took = ConnectFailed, 2*ms
+	case r.phase == 4 && r.rng.IntN(2) == 0: // servers shed
+		status, took = Full, ms
+	case slow:
+		took *= 4
+	case r.rng.IntN(50) == 0:
+		status = Status(r.rng.IntN(int(statuses)))
+	}
+	if status == Timeout {
+		took = a.Wait
+	}
+	if status == OK && r.rng.IntN(20) == 0 {
+		r.later(took/2, func() { r.take("started", r.balancer.Started(r.now, a.Request, a.Number, nil)) })
+	}
+	r.later(min(took, a.Wait), func() { r.outcome(a, status, min(took, a.Wait)) })
+}
+
+func (r *recorder) outcome(a Action, status Status, took time.Duration) {
+	r.statuses[status]++
+	final := status == OK || r.rng.IntN(30) == 0
+	r.take("outcome", r.balancer.Outcome(r.now, Outcome{Request: a.Request, Number: a.Number, Status: status, Took: took, Final: final}, nil))
+}
+
+func (r *recorder) members(kind ListKind, entries []Server) {
+	r.take("members", r.balancer.Members(r.now, kind, entries, nil))
+}
+
+// request sends a drawn request.
+func (r *recorder) request(id string) {
+	class := Class{Name: "unannounced", Deadline: 400 * ms}
+	if n := r.rng.IntN(len(r.balancer.set.Classes)); r.balancer.set.Classes[n].Name != "" {
+		class = r.balancer.set.Classes[n]
+	}
+	q := Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline, Again: r.rng.IntN(8) == 0,
+		Tenant: []string{"big", "big", "small", "none", "unknown"}[r.rng.IntN(5)]}
+	if r.rng.IntN(3) > 0 {
+		q.Key = fmt.Sprint("key", r.rng.IntN(40))
+	}
+	if r.rng.IntN(3) == 0 {
+		q.Work = time.Duration(1+r.rng.IntN(80)) * ms
+	}
+	r.take("request", r.balancer.Request(r.now, q, nil))
+	r.open = append(r.open, id)
+}
+
+// endpoints draws a change of the list.
+func (r *recorder) endpoints() {
+	i := r.rng.IntN(len(r.list))
+	r.list[i].State = ServerState(max(0, r.rng.IntN(6)-3))
+	if r.rng.IntN(2) == 0 {
+		r.list[i].Started = r.now - time.Duration(r.rng.IntN(25000))*ms
+	}
+	switch r.rng.IntN(10) {
+	case 0:
+		r.members(ListSaved, r.list)
+	case 1, 3, 4:
+		r.members(ListFailed, nil)
+	case 2:
+		r.members(ListFull, r.list[:len(r.list)-r.rng.IntN(3)])
+	default:
+		r.members(ListChange, r.list[i:i+1])
+	}
+}
+
+// stray brings events that name nothing known, and the rarer ones.
+func (r *recorder) stray() {
+	id := r.open[r.rng.IntN(len(r.open))]
+	switch r.rng.IntN(6) {
+	case 0:
+		r.take("left", r.balancer.Left(r.now, id, nil))
+	case 1:
+		r.take("outcome", r.balancer.Outcome(r.now, Outcome{Request: id, Number: r.rng.IntN(4) - 1, Status: OK, Took: ms}, nil))
+	case 2:
+		r.take("timer", r.balancer.Timer(r.now, r.rng.Uint64N(99), nil))
+	case 3:
+		r.take("request", r.balancer.Request(r.now, Request{ID: id, Class: "read", Deadline: r.now + 300*ms}, nil))
+	case 4:
+		classes := append([]Class(nil), r.balancer.set.Classes[:len(r.balancer.set.Classes)-1]...)
+		at := r.rng.IntN(len(classes))
+		classes[at].Worth, classes[at].Aim = 1+float64(r.rng.IntN(4)), time.Duration(50+r.rng.IntN(300))*ms
+		tenants := r.balancer.set.Tenants
+		if r.rng.IntN(2) == 0 && tenants != nil {
+			tenants = []Tenant{{"big", float64(100 + r.rng.IntN(500))}, {"small", 100}, {"none", 0}}
+		}
+		r.take(fmt.Sprint("change", r.balancer.Change(classes, tenants) == nil), nil)
+	case 5:
+		r.take("started", r.balancer.Started(r.now, id, r.rng.IntN(3), nil))
+	}
+}
+
+// step fires what is due, in the order in which it was planned.
+func (r *recorder) step() {
+	for i := 0; i < len(r.due); i++ {
+		if event := r.due[i]; event.at <= r.now {
+			r.due = append(r.due[:i:i], r.due[i+1:]...)
+			event.do()
+			i = -1
+		}
+	}
+}
+
+func (r *recorder) play() {
+	r.members(ListSaved, r.list)
+	for tick := range recordingTicks {
+		r.now += ms
+		r.phase = (tick / 1000) % 7
+		r.step()
+		if tick == recordingTicks*3/4 { // a restart of the whole fleet: all are cold
+			for i := range r.list {
+				r.list[i].State, r.list[i].Started = Ready, r.now
+			}
+			r.members(ListFull, r.list)
+		}
+		if r.rng.IntN(4) == 0 && tick%3000 < 2800 {
+			r.request(fmt.Sprint("r", tick))
+		}
+		if r.rng.IntN(150) == 0 {
+			r.endpoints()
+		}
+		if len(r.open) > 0 && r.rng.IntN(60) == 0 {
+			r.stray()
+		}
+		r.open = r.open[max(0, len(r.open)-30):]
+	}
+	r.take("over", r.balancer.Timer(r.now, Over, nil))
+	r.flush()
+}
+
+// TestActionsEqualTheRecording compares all actions, of runs that meet every kind of event,
+// status and action, with what the module did when the recording was made.
+func TestActionsEqualTheRecording(t *testing.T) {
+	var lines []string
+	var kinds [Close + 1]int
+	var ends [statuses]int
+	for _, run := range recordedRuns {
+		r := newRecorder(t, run)
+		r.play()
+		lines = append(lines, r.lines...)
+		for i, n := range r.total {
+			kinds[i] += n
+		}
+		for i, n := range r.statuses {
+			ends[i] += n
+		}
+	}
+	for kind, n := range kinds {
+		if n < 20 {
+			t.Errorf("action %d came %d times, wanted 20 at least: the recording shows little", kind, n)
+		}
+	}
+	for status, n := range ends {
+		if n < 20 {
+			t.Errorf("status %d came %d times, wanted 20 at least: the recording shows little", status, n)
+		}
+	}
+	found := strings.Join(lines, "\n") + "\n"
+	if *recordActions {
+		if err := os.WriteFile(recordingFile, []byte(found), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		t.Logf("actions by kind %v, outcomes by status %v", kinds, ends)
+		return
+	}
+	recorded, err := os.ReadFile(recordingFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if found == string(recorded) {
+		return
+	}
+	wanted := strings.Split(strings.TrimSuffix(string(recorded), "\n"), "\n")
+	for i, line := range lines {
+		if i >= len(wanted) || line != wanted[i] {
+			t.Fatalf("line %d (run, events, actions by kind, held, hash):\nfound  %s\nwanted %s", i+1, line, strings.Join(wanted[min(i, len(wanted)):min(i+1, len(wanted))], ""))
+		}
+	}
+	t.Fatalf("found %d lines, wanted %d", len(lines), len(wanted))
+}
