--- a/balance/recording_test.go
+++ b/balance/recording_test.go
@@ -68,6 +68,18 @@
 	return fmt.Sprintf("%d %q %q %d %d %d %d", int(a.Kind), a.Request, a.Server, a.Number, int64(a.Wait), int64(a.Latest), a.Token)
 }
 
+// recordedState appends what a balancer has learnt, to the last bit.
+func recordedState(text []byte, b *Balancer) []byte {
+	text = fmt.Append(text, b.overload, b.served, b.success, b.perWarm, b.warmLast, b.warm, b.usual, b.tenantRate, b.worthSum, b.quotaSum, "\n")
+	for _, class := range b.classStat {
+		text = fmt.Append(text, class.latency, class.work, "\n")
+	}
+	for _, s := range b.all {
+		text = fmt.Append(text, s.ID, s.ratio, s.count, int64(s.counted), s.run, s.outs, int64(s.until), s.trial, len(s.out), len(s.idle), "\n")
+	}
+	return text
+}
+
 func newRecorder(t *testing.T, run recordedRun) *recorder {
 	t.Helper()
 	set := site()
@@ -116,6 +128,7 @@
 }
 
 func (r *recorder) flush() {
+	r.block = recordedState(r.block, r.balancer)
 	sum := sha256.Sum256(r.block)
 	r.lines = append(r.lines, fmt.Sprintf("%s-%d %d %v %d %x", r.run.name, r.run.seed, r.events, r.kinds, r.balancer.Held(), sum[:12]))
 	for i, n := range r.kinds {
@@ -258,7 +271,7 @@
 		if r.rng.IntN(4) == 0 && tick%3000 < 2800 {
 			r.request(fmt.Sprint("r", tick))
 		}
-		if r.rng.IntN(150) == 0 {
+		if r.rng.IntN(120) == 0 && tick%5000 < 3500 {
 			r.endpoints()
 		}
 		if len(r.open) > 0 && r.rng.IntN(60) == 0 {
