--- a/cmd/otterspring/config_test.go
+++ b/cmd/otterspring/config_test.go
@@ -18,11 +18,11 @@
 	"testing"
 	"time"
 
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/fleet/configuration"
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
 	"otterspring/internal/fleet/coordination/server"
-	"otterspring/internal/inject"
 )
 
 // testTimeout detects a hang.
@@ -123,7 +123,7 @@
 		r.t.Fatal(err)
 	}
 	c := exec.Command(program, args...)
-	c.Env = append(os.Environ(), inject.Env+"="+r.folder, inject.Role+"="+role)
+	c.Env = append(os.Environ(), faultinjection.DirectoryEnv+"="+r.folder, faultinjection.RoleEnv+"="+role)
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends with the test program
 	if err := errors.Join(c.Start(), log.Close()); err != nil {
--- a/cmd/otterspring/fleet.go
+++ b/cmd/otterspring/fleet.go
@@ -29,7 +29,7 @@
 
 // fleetCommand is `otterspring fleet` with its verbs.
 func fleetCommand(out io.Writer, log func() *slog.Logger) *cobra.Command {
-	return cli.Root("fleet", "run many sidecars on a host, restart and reload them",
+	return cli.NewGroup("fleet", "run many sidecars on a host, restart and reload them",
 		"fleet supervises the instances that a file describes (docs/operate/fleet.md). run does so\n"+
 			"until SIGTERM or SIGINT, and then stops them; the other verbs send a request to the running\n"+
 			"supervisor, over its control socket. If it is killed the instances continue; the next one\n"+
@@ -119,7 +119,7 @@
 
 // sendToSupervisor sends a request to the supervisor and prints its response.
 func sendToSupervisor(file *supervisor.File, out io.Writer, request ...string) error {
-	response, err := supervisor.Ask(file.Control, request...)
+	response, err := supervisor.SendCommand(file.Control, request...)
 	if err == nil {
 		_, err = io.WriteString(out, response)
 	}
@@ -150,7 +150,7 @@
 func waitForRoll(file *supervisor.File, out io.Writer) error {
 	printed := ""
 	for {
-		status, err := supervisor.Ask(file.Control, "status")
+		status, err := supervisor.SendCommand(file.Control, "status")
 		if err != nil {
 			return err
 		}
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -21,7 +21,7 @@
 	"otterspring/internal/cli"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/scale"
-	"otterspring/internal/logs"
+	"otterspring/internal/logging"
 	"otterspring/internal/sidecar/entrypoint"
 )
 
@@ -77,7 +77,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var log logs.Options
+	var log logging.Options
 	err := execute(ctx, args, os.Stdout, os.Stderr, &log)
 	code := 1
 	switch {
@@ -89,26 +89,26 @@
 		code = 3
 	}
 	if !errors.Is(err, errSaid) {
-		cli.Fail(os.Stderr, "rig", &log, err)
+		cli.ReportError(os.Stderr, "rig", &log, err)
 	}
 	return code
 }
 
 // execute runs the command that args name.
-func execute(ctx context.Context, args []string, out, errw io.Writer, log *logs.Options) error {
+func execute(ctx context.Context, args []string, out, errw io.Writer, log *logging.Options) error {
 	var subs []*cobra.Command
 	for i := range commands {
 		subs = append(subs, commands[i].cobra(out))
 	}
-	root := cli.Root("rig", "plays otterspring's own rigs, all on loopback, no root needed",
+	root := cli.NewGroup("rig", "plays otterspring's own rigs, all on loopback, no root needed",
 		"rig plays otterspring's own rigs: all on loopback, no root needed. The last line is\n"+
 			"key=value figures. Exit codes: 0 kept, 1 a rule broke or a promise failed, 2 usage,\n"+
 			"3 a run that shows nothing. Flags may have one dash or two.", subs...)
-	flags := cli.LogFlags(root)
+	flags := cli.AddLogFlags(root)
 	defer func() { *log = *flags }()
 	root.SetOut(out)
 	root.SetErr(errw)
-	root.SetArgs(cli.TwoDashes(args))
+	root.SetArgs(cli.NormalizeFlags(args))
 	return root.ExecuteContext(ctx)
 }
 
--- a/internal/lab/rig/between_test.go
+++ b/internal/lab/rig/between_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
 )
@@ -295,13 +295,14 @@
 		if e.Do != history.Process || e.Op != "said" || e.Who != "f1" {
 			continue
 		}
-		woke = woke || strings.Contains(e.Value, "stood still for")
-		if wasKilled.MatchString(e.Value) || strings.Contains(e.Value, ": killed") {
+		event := parseSupervisorLine(e.Value)
+		woke = woke || event.kind == supervisorSuspended
+		if event.killed() || event.kind == killDecided {
 			t.Errorf("f1 said %s", e.Value)
 		}
 	}
 	if !woke {
-		t.Errorf("f1 did not say that it stood still")
+		t.Errorf("f1 did not report that it was suspended")
 	}
 }
 
@@ -335,7 +336,7 @@
 			continue
 		}
 		env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
-		if err == nil && bytes.Contains(env, []byte(inject.Env+"="+dir)) {
+		if err == nil && bytes.Contains(env, []byte(faultinjection.DirectoryEnv+"="+dir)) {
 			pids = append(pids, pid)
 		}
 	}
--- a/internal/lab/rig/hosts.go
+++ b/internal/lab/rig/hosts.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/inject"
+	"otterspring/internal/faultinjection"
 	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
@@ -242,7 +242,7 @@
 	h.mu.Unlock()
 	cmd := exec.Command(argv[0], argv[1:]...)
 	p := &Process{cmd: cmd, tail: &tail{}, done: make(chan struct{})}
-	cmd.Env = append(os.Environ(), inject.Env+"="+h.dir, inject.Role+"="+one.role, "GORACE=halt_on_error=1")
+	cmd.Env = append(os.Environ(), faultinjection.DirectoryEnv+"="+h.dir, faultinjection.RoleEnv+"="+one.role, "GORACE=halt_on_error=1")
 	cmd.Stdout, cmd.Stderr = &ears{tail: p.tail, h: h, role: one.role}, &ears{tail: p.tail, h: h, role: one.role}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true, Pdeathsig: syscall.SIGKILL}
 	h.mu.Lock()
@@ -290,14 +290,6 @@
 	rest []byte
 }
 
-// Versions before the one under test, which rig nemesis -old runs, end the line in
-// ": killed".
-var (
-	wasKilled = regexp.MustCompile(`msg="(n\d+): (?:process \d+ ended: signal: killed|process killed: |.*: killed"$)`)
-	killed    = regexp.MustCompile(`msg="n\d+: (?:process killed: |.*: killed"$)`) // by the supervisor's own decision
-	wentWrong = regexp.MustCompile(`msg="(n\d+): process \d+ ended: (exit status (?:2|66)|signal: (?:segmentation|aborted|illegal)[^"]*)`)
-)
-
 func (e *ears) Write(p []byte) (int, error) {
 	e.tail.Write(p)
 	e.rest = append(e.rest, p...)
@@ -309,16 +301,17 @@
 		line := string(e.rest[:i])
 		e.rest = e.rest[i+1:]
 		e.h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: e.role, Op: "said", Value: line})
-		e.h.heard(e.role, line)
-		if m := wasKilled.FindStringSubmatch(line); m != nil {
-			e.h.w.Log.Excuse(m[1], e.h.w.Log.Now()-3*time.Second)
+		event := parseSupervisorLine(line)
+		e.h.heard(e.role, event)
+		if event.killed() {
+			e.h.w.Log.Excuse(event.instance, e.h.w.Log.Now()-3*time.Second)
 		}
-		if killed.MatchString(line) {
+		if event.countedKill() {
 			e.h.mu.Lock()
 			e.h.kills++
 			e.h.mu.Unlock()
 		}
-		if wentWrong.MatchString(line) {
+		if event.crashed() {
 			e.h.fail(fmt.Errorf("%s: %w", line, ErrCrashed))
 		}
 	}
--- a/internal/sidecar/abandon_test.go
+++ b/internal/sidecar/abandon_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -9,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpState is what the kernel holds a connection to be in.
+// tcpState returns a connection's state by the kernel.
 func tcpState(t *testing.T, c net.Conn) uint8 {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -17,24 +18,29 @@
 		t.Fatal(err)
 	}
 	state := uint8(0)
-	raw.Control(func(fd uintptr) {
+	err = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			state = info.State
 		}
 	})
+	if err != nil {
+		t.Fatal(err)
+	}
 	return state
 }
 
-// An attempt that is given up first ends its sending, so that the work stops,
-// and is then reset: a plain close would leave what is still on its way to be
-// delivered, and run, whenever the way is whole again.
-func TestGivenUpAttemptsAreReset(t *testing.T) {
+// An abandoned attempt first ends its sending, so that the work stops, and is then
+// reset: after a plain close bytes in transit would still be delivered, and executed,
+// whenever the network recovers.
+func TestAbandonedAttemptsAreReset(t *testing.T) {
 	t.Parallel()
 	const tcpClose = 7 // reset; after a plain close it would be in CLOSE_WAIT, 8
 	ended, checked := make(chan net.Conn, 1), make(chan struct{})
 	up := startUpstream(t, func(c net.Conn, r *http.Request, _ int64) bool {
-		io.Copy(io.Discard, r.Body)
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Error(err)
+		}
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("the upstream saw %v, want the end of sending first", err)
 		}
 		ended <- c
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -84,8 +84,7 @@
 	return ln
 }
 
-// startDiscovery names the upstreams in its whole list; its watches never
-// have news.
+// startDiscovery has the upstreams in its snapshot; its watches never report a change.
 func startDiscovery(t *testing.T, ups ...string) string {
 	t.Helper()
 	end := make(chan struct{})
@@ -98,7 +97,7 @@
 			}
 			return
 		}
-		io.WriteString(w, text)
+		trySend(w, text)
 	}))
 	t.Cleanup(s.Close)
 	t.Cleanup(func() { close(end) })
@@ -148,7 +147,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
 	return c
 }
 
@@ -156,7 +157,7 @@
 
 func newID() string { return fmt.Sprintf("id-%d", ids.Add(1)) }
 
-// readRequest is a request of the class that is safe to repeat.
+// readRequest is a request of the idempotent class.
 func readRequest(id string) string {
 	return "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Deadline: 6\r\n\r\n"
 }
@@ -210,7 +211,7 @@
 
 // Connections that never ask, or asked once and stay, must not keep the usual
 // client out, however many and however young they are.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -223,7 +224,7 @@
 	for range 3 * most {
 		id := newID()
 		c := dialClient(t, s)
-		io.WriteString(c, readRequest(id))
+		send(t, c, readRequest(id))
 		if r, body := clientAnswer(t, c); r == nil || r.StatusCode != 200 || body != id {
 			t.Fatalf("with others staying, a request was answered %v %q", r, body)
 		}
@@ -240,7 +241,7 @@
 	ask := func(c net.Conn) {
 		t.Helper()
 		id := newID()
-		io.WriteString(c, readRequest(id))
+		send(t, c, readRequest(id))
 		if r, body := clientAnswer(t, c); r == nil || r.StatusCode != 200 || body != id {
 			t.Fatalf("answered %v %q", r, body)
 		}
@@ -253,7 +254,7 @@
 		eventually(t, "it is idle", func() bool { return idleClients(s) >= min(len(all), spare) })
 	}
 	if n, err := io.Copy(io.Discard, all[0]); n > 0 || err != nil {
-		t.Errorf("the first one was told %d bytes, %v", n, err)
+		t.Errorf("the first client received %d bytes, %v", n, err)
 	}
 	for _, c := range all[1:] {
 		ask(c)
@@ -262,11 +263,11 @@
 
 // idleClients counts the connections that asked and are idle.
 func idleClients(s *Sidecar) int {
-	return s.httpServer.Idle()
+	return s.httpServer.IdleConnections()
 }
 
 // A client that says nothing, or half of something, is let go.
-func TestHalfRequestsEnd(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -277,7 +278,7 @@
 		"half body": "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + newID() + "\r\nContent-Length: 100\r\n\r\nabc",
 	} {
 		c := dialClient(t, s)
-		io.WriteString(c, text)
+		send(t, c, text)
 		all.Go(func() {
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s: still open", name)
@@ -288,7 +289,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "no connection is kept", s.httpServer.Empty)
+	eventually(t, "no connection is open", s.httpServer.Empty)
 }
 
 // A slow client that makes progress is not cut off.
@@ -299,9 +300,9 @@
 	id := newID()
 	c := dialClient(t, s)
 	body := strings.Repeat("x", 60<<10)
-	fmt.Fprintf(c, "POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n", id, len(body))
+	send(t, c, fmt.Sprintf("POST /act HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n", id, len(body)))
 	for ; body != ""; body = body[10<<10:] {
-		io.WriteString(c, body[:10<<10])
+		send(t, c, body[:10<<10])
 		time.Sleep(550 * time.Millisecond)
 	}
 	if r, got := clientAnswer(t, c); r == nil || r.StatusCode != 200 || got != id {
@@ -310,7 +311,7 @@
 }
 
 // A large body is turned away by its length, without reading it.
-func TestLargeBodyIsTurnedAway(t *testing.T) {
+func TestTooLargeBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	up := startUpstream(t, good)
 	s := startSidecar(t, up.addr())
@@ -326,7 +327,7 @@
 	if n := up.seen.Load(); n > 0 {
 		t.Errorf("%d requests reached the upstream", n)
 	}
-	eventually(t, "the budget is whole again", func() bool { return int64(s.httpServer.Bodies()) == 8<<20 })
+	eventually(t, "the budget is returned", func() bool { return int64(s.httpServer.Budget().Available()) == 8<<20 })
 	wantServed(t, s)
 }
 
