--- a/balance/balance.go
+++ b/balance/balance.go
@@ -16,19 +16,19 @@
 const (
 	OK Status = iota
 	Error
-	Full
+	AtCapacity
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
 	NeverSent
-	Unwritten // the connection was up and broke before the request's last byte
-	statuses  // how many there are
+	PartialWrite // the connection was up and broke before the request's last byte
+	statuses     // how many there are
 )
 
 // harmless tells whether a status proves that the attempt never ran.
 func (s Status) harmless() bool {
-	return s == Full || s == ConnectFailed || s == NeverSent || s == Unwritten
+	return s == AtCapacity || s == ConnectFailed || s == NeverSent || s == PartialWrite
 }
 
 // ActionKind says what the caller is to do.
@@ -37,23 +37,23 @@
 // The actions. Each request gets a Send that ends well, a Refuse or a Fail.
 const (
 	Send      ActionKind = iota // start an attempt of Request at Server, for Wait at most
-	Refuse                      // final answer: not done, harmless to try again, after Wait if set
+	Reject                      // final answer: not done, harmless to try again, after Wait if set
 	Fail                        // final answer: nothing is promised
 	Cancel                      // stop waiting for attempt Number of Request
 	Timer                       // call Timer with Token after Wait
 	Subscribe                   // ask for the server list and its changes
-	Close                       // close the idle connections to Server
+	CloseIdle                   // close the idle connections to Server
 )
 
 // Action is one thing for the caller to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Request string
-	Server  string
-	Number  int
-	Wait    time.Duration
-	Latest  time.Duration // a Send's last byte leaves within this, or never
-	Token   uint64
+	Kind         ActionKind
+	Request      string
+	Server       string
+	Number       int
+	Wait         time.Duration
+	SendDeadline time.Duration // a Send's last byte leaves within this, or never
+	Token        uint64
 }
 
 // Request is a client's request as it arrives.
@@ -64,7 +64,7 @@
 	Key      string
 	Deadline time.Duration // clock time at which the client gives up this try
 	Work     time.Duration // expected work, 0 where not told
-	Again    bool          // a client's repeat of an earlier try
+	IsRetry  bool          // a client's repeat of an earlier try
 }
 
 // Outcome is the end of one attempt.
@@ -193,23 +193,23 @@
 // into the one before. The last is for requests of a class not announced: the most
 // careful kind.
 func (b *Balancer) setClasses(classes []Class) {
-	b.set.Classes = append(slices.Clone(classes), Class{Effect: Once, LateWorth: 1})
+	b.set.Classes = append(slices.Clone(classes), Class{Idempotency: NonIdempotent, LatePriorityWeight: 1})
 	b.worthSum = 0
 	for i, c := range classes {
 		b.classes[c.Name] = i
-		b.worthSum += c.Worth
+		b.worthSum += c.PriorityWeight
 	}
 }
 
-// Change takes other tenants, and the same classes with another Aim, Worth or
-// LateWorth. Requests that have begun go on by the class they began with.
-func (b *Balancer) Change(classes []Class, tenants []Tenant) error {
+// Reconfigure takes other tenants, and the same classes with another Aim, Worth or
+// LatePriorityWeight. Requests that have begun go on by the class they began with.
+func (b *Balancer) Reconfigure(classes []Class, tenants []Tenant) error {
 	same := slices.EqualFunc(b.set.Classes[:len(b.set.Classes)-1], classes, func(old, c Class) bool {
-		old.Aim, old.Worth, old.LateWorth = c.Aim, c.Worth, c.LateWorth
-		return old == c && c.Aim >= 0
+		old.LatencyObjective, old.PriorityWeight, old.LatePriorityWeight = c.LatencyObjective, c.PriorityWeight, c.LatePriorityWeight
+		return old == c && c.LatencyObjective >= 0
 	})
 	if !same {
-		return errors.New("balance: Classes: found others, wanted the same but for an Aim of 0 or more, Worth and LateWorth")
+		return errors.New("balance: Classes: found other classes, expected the same but for LatencyObjective (0 or more), PriorityWeight and LatePriorityWeight")
 	}
 	b.setClasses(classes)
 	if !slices.Equal(tenants, b.set.Tenants) {
@@ -241,9 +241,9 @@
 	return acts
 }
 
-// Over is the token that ends the service: every open request gets its final
+// Shutdown is the token that ends the service: every open request gets its final
 // answer at once.
-const Over = ^uint64(0)
+const Shutdown = ^uint64(0)
 
 // Timer takes a timer that came due, or Over. Other timers are harmless.
 func (b *Balancer) Timer(now time.Duration, token uint64, acts []Action) []Action {
@@ -251,7 +251,7 @@
 	if uint64(b.armed) == token || b.armed <= now {
 		b.armed = 0
 	}
-	for len(b.wakes) > 0 && (b.wakes[0].at <= now || token == Over) {
+	for len(b.wakes) > 0 && (b.wakes[0].at <= now || token == Shutdown) {
 		w := b.wakes[0]
 		b.wakes = b.wakes[1:]
 		switch {
@@ -260,7 +260,7 @@
 				b.act(Action{Kind: Subscribe})
 			}
 		case w.r.answered:
-		case w.kind == wakeEnd || token == Over:
+		case w.kind == wakeEnd || token == Shutdown:
 			b.end(w.r, now)
 		case w.kind == wakeResend:
 			w.r.waiting = false
@@ -283,7 +283,7 @@
 		at = len(b.set.Classes) - 1
 	}
 	r := &request{Request: q, class: &b.set.Classes[at], classAt: at, work: float64(q.Work), arrived: now}
-	if q.Key != "" && b.set.WarmKeys {
+	if q.Key != "" && b.set.KeyAffinity {
 		r.key = hashString(q.Key)
 	}
 	if q.Work > 0 {
@@ -306,10 +306,10 @@
 // early so that the final answer is out by then. Rule 1 hangs on it: the
 // request ends then, whatever its attempts do.
 func (b *Balancer) usefulUntil(r *request, now time.Duration) time.Duration {
-	if r.class.LateWorth > 0 {
+	if r.class.LatePriorityWeight > 0 {
 		return r.Deadline
 	}
-	aim := now + r.class.Aim + time.Duration(r.class.AimStretch*r.work) - b.set.Round
+	aim := now + r.class.LatencyObjective + time.Duration(r.class.ObjectivePerWork*r.work) - b.set.CallInterval
 	return min(r.Deadline, max(aim, now))
 }
 
@@ -329,8 +329,8 @@
 func (b *Balancer) start(r *request, s *server, now time.Duration) {
 	a := &attempt{request: r, server: s, number: len(r.attempts), sent: now, expected: b.expect(r)}
 	latest := r.useful
-	if r.anchor != nil && r.class.Effect == Keyed {
-		latest = min(latest, r.anchor.sent+r.class.Window)
+	if r.anchor != nil && r.class.Idempotency == IdempotentWithKey {
+		latest = min(latest, r.anchor.sent+r.class.DedupWindow)
 	}
 	if a.number == 0 {
 		b.budget.first(now)
@@ -345,10 +345,10 @@
 	if r.anchor == nil {
 		r.anchor = a
 	}
-	b.act(Action{Kind: Send, Request: r.ID, Server: s.ID, Number: a.number, Wait: max(r.useful-now, 1), Latest: max(latest-now, 1)})
-	if b.set.CanCopy && r.class.Effect != Once && len(r.attempts) < b.set.MaxAttempts {
+	b.act(Action{Kind: Send, Request: r.ID, Server: s.ID, Number: a.number, Wait: max(r.useful-now, 1), SendDeadline: max(latest-now, 1)})
+	if b.set.CanHedge && r.class.Idempotency != NonIdempotent && len(r.attempts) < b.set.MaxAttempts {
 		left := float64(r.useful - now)
-		if aim := float64(r.class.Aim); aim > 0 && aim < left {
+		if aim := float64(r.class.LatencyObjective); aim > 0 && aim < left {
 			left = aim
 		}
 		// In an overload everything is late, and copies would feed it: the
@@ -373,12 +373,12 @@
 	switch {
 	case r.answered || len(r.attempts) >= b.set.MaxAttempts || now >= r.useful:
 		return false
-	case r.open > 0 && (!b.set.CanCopy || r.open > 1):
+	case r.open > 0 && (!b.set.CanHedge || r.open > 1):
 		return false
-	case r.anchor == nil || r.class.Effect == Repeat:
+	case r.anchor == nil || r.class.Idempotency == Idempotent:
 		return true
 	}
-	return r.class.Effect == Keyed && now < r.anchor.sent+r.class.Window
+	return r.class.Idempotency == IdempotentWithKey && now < r.anchor.sent+r.class.DedupWindow
 }
 
 // hold waits a little for a server to become usable, then sends again.
@@ -406,11 +406,11 @@
 		return
 	}
 	kind := Fail
-	if r.anchor == nil || r.class.Effect == Repeat || r.class.Effect == Keyed && r.class.Group == GroupAll {
-		kind = Refuse
+	if r.anchor == nil || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == ScopeAll {
+		kind = Reject
 	}
 	advice := time.Duration(0)
-	if kind == Refuse && b.overload > 0 {
+	if kind == Reject && b.overload > 0 {
 		advice = b.set.RetryAfter
 	}
 	b.act(Action{Kind: kind, Request: r.ID, Wait: advice})
@@ -479,7 +479,7 @@
 	}
 	if served {
 		step := shedUp
-		if now <= r.arrived+r.class.Aim {
+		if now <= r.arrived+r.class.LatencyObjective {
 			step = -shedDown
 		}
 		b.learnOverload(now, step)
@@ -504,12 +504,12 @@
 	b.at(now+wait, wakeResend, r, 0)
 }
 
-// Held counts what is kept, for who watches that it does not grow.
-func (b *Balancer) Held() int {
+// Retained counts what is kept, for who watches that it does not grow.
+func (b *Balancer) Retained() int {
 	return len(b.requests) + len(b.wakes) + len(b.all) + len(b.ring.points) + len(b.budget.firsts) + len(b.budget.retries)
 }
 
-// Started takes the start of a streamed answer: the attempt is the client's
+// StartTime takes the start of a streamed answer: the attempt is the client's
 // now, and nothing more may be sent.
 func (b *Balancer) Started(now time.Duration, id string, number int, acts []Action) []Action {
 	b.acts = acts
@@ -520,8 +520,8 @@
 	return b.done(now)
 }
 
-// Left takes the news that a client is gone; no answer is owed any more.
-func (b *Balancer) Left(now time.Duration, id string, acts []Action) []Action {
+// Disconnected takes the news that a client is gone; no answer is owed any more.
+func (b *Balancer) Disconnected(now time.Duration, id string, acts []Action) []Action {
 	b.acts = acts
 	if r := b.requests[id]; r != nil && !r.answered {
 		b.close(r)
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -68,7 +68,7 @@
 	if b.worthSum == 0 {
 		return 1
 	}
-	return min(2, max(0.5, r.class.Worth*float64(len(b.classes))/b.worthSum))
+	return min(2, max(0.5, r.class.PriorityWeight*float64(len(b.classes))/b.worthSum))
 }
 
 // overShare counts a request for its tenant and returns how many times its
@@ -77,10 +77,10 @@
 // worth little and crowds out the rest. Repeats are not counted.
 func (b *Balancer) overShare(r *request) float64 {
 	at, known := b.tenantAt[r.Tenant]
-	if !known || b.set.OverShare >= 1 {
+	if !known || b.set.OverQuotaWeight >= 1 {
 		return 1
 	}
-	if !r.Again {
+	if !r.IsRetry {
 		for i := range b.tenantRate {
 			b.tenantRate[i] *= 1 - tenantWeight
 		}
--- a/balance/budgetuse_test.go
+++ b/balance/budgetuse_test.go
@@ -27,8 +27,8 @@
 
 func checkBudget(t *testing.T, perSec int, hang bool, wantMore int) {
 	b, err := New(Settings{
-		Classes:     []Class{{Name: "roster", Aim: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, Worth: 1, Effect: Repeat}},
-		MaxAttempts: 3, CanCancel: true, CanCopy: true, ColdShare: 1,
+		Classes:     []Class{{Name: "roster", LatencyObjective: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, PriorityWeight: 1, Idempotency: Idempotent}},
+		MaxAttempts: 3, CanCancel: true, CanHedge: true, InitialCapacity: 1,
 	}, 7)
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 		servers = append(servers, Server{ID: fmt.Sprintf("s%d", i)})
 	}
 	now := time.Hour
-	b.Members(now, ListFull, servers, nil)
+	b.Endpoints(now, ListFull, servers, nil)
 	type due struct {
 		at  time.Duration
 		out Outcome
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -15,13 +15,13 @@
 func capacityBalancer(b *testing.B, servers int, warmKeys bool) (*Balancer, []Server) {
 	b.Helper()
 	settings := site()
-	settings.WarmKeys = warmKeys
+	settings.KeyAffinity = warmKeys
 	balancer, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	list := fleet(servers)
-	balancer.Members(time.Second, ListFull, list, nil)
+	balancer.Endpoints(time.Second, ListFull, list, nil)
 	return balancer, list
 }
 
@@ -32,7 +32,7 @@
 	steps := []struct {
 		name  string
 		state ServerState
-	}{{"drain-ns", Draining}, {"leave-ns", Gone}, {"return-ns", Ready}}
+	}{{"drain-ns", Draining}, {"leave-ns", Removed}, {"return-ns", Ready}}
 	for _, warmKeys := range []bool{false, true} {
 		for _, servers := range capacitySizes {
 			b.Run(fmt.Sprintf("keys=%t/servers=%d", warmKeys, servers), func(b *testing.B) {
@@ -44,9 +44,9 @@
 					now += time.Second
 					server := list[i%len(list)]
 					for k, step := range steps {
-						server.State, server.Started = step.state, now
+						server.State, server.StartTime = step.state, now
 						begun := cost.CPU()
-						acts = balancer.Members(now, ListChange, []Server{server}, acts[:0])
+						acts = balancer.Endpoints(now, ListDelta, []Server{server}, acts[:0])
 						took[k] += cost.CPU() - begun
 					}
 				})
@@ -69,8 +69,8 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					held.set.WarmKeys = warmKeys
-					held.Members(time.Second, ListFull, list, nil)
+					held.set.KeyAffinity = warmKeys
+					held.Endpoints(time.Second, ListFull, list, nil)
 					return held
 				})
 			})
--- a/balance/change_test.go
+++ b/balance/change_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	for _, a := range acts {
 		if a.Kind == Send {
-			return a.Latest
+			return a.SendDeadline
 		}
 	}
 	t.Fatalf("found %v, wanted a Send", acts)
@@ -23,7 +23,7 @@
 func changed(set Settings, name string, aim time.Duration) []Class {
 	classes := slices.Clone(set.Classes)
 	i := slices.IndexFunc(classes, func(c Class) bool { return c.Name == name })
-	classes[i].Aim, classes[i].LateWorth = aim, 0
+	classes[i].LatencyObjective, classes[i].LatePriorityWeight = aim, 0
 	return classes
 }
 
@@ -35,23 +35,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Members(0, ListSaved, fleet(6), nil)
+	b.Endpoints(0, ListCached, fleet(6), nil)
 	now := time.Second
 	ask := func(id string) time.Duration {
 		return latest(t, b.Request(now, Request{ID: id, Class: name, Deadline: now + 5*time.Second}, nil))
 	}
-	if found, wanted := ask("before"), 200*ms-set.Round; found != wanted {
+	if found, wanted := ask("before"), 200*ms-set.CallInterval; found != wanted {
 		t.Errorf("before: found %v, wanted %v", found, wanted)
 	}
 	old := b.requests["before"].class
-	if err := b.Change(changed(set, name, 400*ms), nil); err != nil {
+	if err := b.Reconfigure(changed(set, name, 400*ms), nil); err != nil {
 		t.Fatal(err)
 	}
-	if found, wanted := ask("after"), 400*ms-set.Round; found != wanted {
+	if found, wanted := ask("after"), 400*ms-set.CallInterval; found != wanted {
 		t.Errorf("after: found %v, wanted %v", found, wanted)
 	}
-	if b.requests["before"].class != old || old.Aim != 200*ms {
-		t.Errorf("the request that had begun: found an aim of %v, wanted that it began with, %v", old.Aim, 200*ms)
+	if b.requests["before"].class != old || old.LatencyObjective != 200*ms {
+		t.Errorf("the request that had begun: found an aim of %v, wanted that it began with, %v", old.LatencyObjective, 200*ms)
 	}
 	// It is still ended by that aim.
 	b.Timer(now+200*ms, uint64(b.armed), nil)
@@ -69,18 +69,18 @@
 		"another order":   func(c []Class) []Class { c[0], c[1] = c[1], c[0]; return c },
 		"another name":    func(c []Class) []Class { c[0].Name = "other"; return c },
 		"a deadline":      func(c []Class) []Class { c[0].Deadline++; return c },
-		"an effect":       func(c []Class) []Class { c[0].Effect = (c[0].Effect + 1) % 3; return c },
-		"a window":        func(c []Class) []Class { c[0].Window++; return c },
-		"a stretch":       func(c []Class) []Class { c[0].AimStretch++; return c },
-		"an aim below 0":  func(c []Class) []Class { c[0].Aim = -1; return c },
-		"only the others": func(c []Class) []Class { return append(c, Class{Effect: Once, LateWorth: 1}) },
+		"an effect":       func(c []Class) []Class { c[0].Idempotency = (c[0].Idempotency + 1) % 3; return c },
+		"a window":        func(c []Class) []Class { c[0].DedupWindow++; return c },
+		"a stretch":       func(c []Class) []Class { c[0].ObjectivePerWork++; return c },
+		"an aim below 0":  func(c []Class) []Class { c[0].LatencyObjective = -1; return c },
+		"only the others": func(c []Class) []Class { return append(c, Class{Idempotency: NonIdempotent, LatePriorityWeight: 1}) },
 	} {
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := slices.Clone(b.set.Classes)
-		if err := b.Change(change(slices.Clone(set.Classes)), []Tenant{{"a", 1}, {"b", 2}}); err == nil {
+		if err := b.Reconfigure(change(slices.Clone(set.Classes)), []Tenant{{"a", 1}, {"b", 2}}); err == nil {
 			t.Errorf("%s: taken, wanted an error", name)
 		}
 		if !reflect.DeepEqual(b.set.Classes, before) || len(b.tenantAt) != 0 {
@@ -91,7 +91,7 @@
 
 func TestChangeOfWorthsAndTenants(t *testing.T) {
 	set := site()
-	set.OverShare = 0.05
+	set.OverQuotaWeight = 0.05
 	set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 	b, err := New(set, 1)
 	if err != nil {
@@ -103,9 +103,9 @@
 	seen := slices.Clone(b.tenantRate)
 	classes := slices.Clone(set.Classes)
 	for i := range classes {
-		classes[i].Worth = 7
+		classes[i].PriorityWeight = 7
 	}
-	if err := b.Change(classes, set.Tenants); err != nil {
+	if err := b.Reconfigure(classes, set.Tenants); err != nil {
 		t.Fatal(err)
 	}
 	if wanted := 7 * float64(len(classes)); b.worthSum != wanted {
@@ -115,7 +115,7 @@
 		t.Errorf("observed shares: found %v after a change of worths alone, wanted %v", b.tenantRate, seen)
 	}
 	other := []Tenant{{"none", 0}, {"new", 300}, {"small", 100}}
-	if err := b.Change(classes, other); err != nil {
+	if err := b.Reconfigure(classes, other); err != nil {
 		t.Fatal(err)
 	}
 	fresh := set
--- a/balance/churn_test.go
+++ b/balance/churn_test.go
@@ -16,13 +16,13 @@
 		for i := range list {
 			list[i].ID = fmt.Sprintf("r%d-%s", round, list[i].ID)
 		}
-		b.Members(now, ListFull, list, nil)
+		b.Endpoints(now, ListFull, list, nil)
 		for i := range 20 {
 			now += 5 * ms
 			id := fmt.Sprintf("%d-%d", round, i)
 			b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms}, nil)
 			b.Outcome(now, Outcome{Request: id, Status: Error, Took: ms}, nil)
-			b.Left(now, id, nil)
+			b.Disconnected(now, id, nil)
 		}
 	}
 	if n := len(b.byID); n != 8 {
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -10,9 +10,9 @@
 // were unused for longest, never of one in use (i927b8b).
 func TestRefusedConnectionLetsAnUnusedOneGo(t *testing.T) {
 	set := site()
-	set.CanCopy, set.IdleFor = false, 4*time.Second
+	set.CanHedge, set.IdleTimeout = false, 4*time.Second
 	b, _ := New(set, 8)
-	b.Members(time.Second, ListFull, fleet(12), nil)
+	b.Endpoints(time.Second, ListFull, fleet(12), nil)
 	now := time.Minute
 	send := func(id string) string {
 		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms}, nil))
@@ -34,14 +34,14 @@
 		id := fmt.Sprint("refused", i)
 		send(id)
 		for _, a := range b.Outcome(now, Outcome{Request: id, Status: ConnectFailed, Took: 2 * ms}, nil) {
-			if a.Kind == Close {
+			if a.Kind == CloseIdle {
 				closed[a.Server] = true
 				if a.Server == held {
 					t.Errorf("let go of %s, which has an attempt out", held)
 				}
 			}
 		}
-		b.Left(now, id, nil)
+		b.Disconnected(now, id, nil)
 	}
 	if len(closed) < 3 {
 		t.Errorf("30 refused connections let go of %v", closed)
--- a/balance/depth_test.go
+++ b/balance/depth_test.go
@@ -77,15 +77,15 @@
 func newCallChain(t testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
 	c := &callChain{fails: fails, way: way, calls: map[string]*chainCall{}}
 	settings := site()
-	settings.CanCopy = false
-	settings.Classes = []Class{{Name: "read", Aim: chainDeadline, Deadline: chainDeadline, Worth: 1, Effect: Repeat}}
+	settings.CanHedge = false
+	settings.Classes = []Class{{Name: "read", LatencyObjective: chainDeadline, Deadline: chainDeadline, PriorityWeight: 1, Idempotency: Idempotent}}
 	for hop := range depth {
 		b, err := New(settings, uint64(hop+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.hops = append(c.hops, b)
-		c.take(hop, b.Members(0, ListFull, fleet(chainServers), nil))
+		c.take(hop, b.Endpoints(0, ListFull, fleet(chainServers), nil))
 	}
 	return c
 }
@@ -167,7 +167,7 @@
 			c.at(c.now+act.Wait, func() { c.take(hop, c.hops[hop].Timer(c.now, act.Token, nil)) })
 		case Send:
 			c.call(hop+1, act.Request, act.Number, c.now+act.Wait)
-		case Refuse, Fail:
+		case Reject, Fail:
 			// In turn, not at once: the balancer is still giving its actions.
 			c.at(c.now, func() { c.end(act.Request, Error) })
 		}
--- a/balance/full_test.go
+++ b/balance/full_test.go
@@ -10,10 +10,10 @@
 // it must not draw the traffic from one that is at work.
 func TestServerThatTurnsAllAwayIsOut(t *testing.T) {
 	set := site()
-	set.CanCopy = false
+	set.CanHedge = false
 	b, _ := New(set, 5)
 	list := fleet(2)
-	b.Members(time.Second, ListFull, list, nil)
+	b.Endpoints(time.Second, ListFull, list, nil)
 	now := time.Minute
 	busy, bad := list[0].ID, 0
 	for i := range 80 {
@@ -24,8 +24,8 @@
 			continue // it takes its time
 		}
 		bad++
-		b.Outcome(now, Outcome{Request: id, Status: Full, Took: ms}, nil)
-		b.Left(now, id, nil)
+		b.Outcome(now, Outcome{Request: id, Status: AtCapacity, Took: ms}, nil)
+		b.Disconnected(now, id, nil)
 	}
 	if bad == 0 || bad > 6 {
 		t.Errorf("%d of 80 requests went to the server that turns all away", bad)
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -11,9 +11,9 @@
 // list is ejected at one time.
 func TestEjectionAndSingleTrial(t *testing.T) {
 	set := site()
-	set.CanCopy = false
+	set.CanHedge = false
 	b, _ := New(set, 9)
-	b.Members(time.Second, ListFull, fleet(4), nil)
+	b.Endpoints(time.Second, ListFull, fleet(4), nil)
 	now, n := time.Minute, 0
 	send := func() (id, to string) {
 		n++
@@ -23,7 +23,7 @@
 	}
 	end := func(id string, s Status) {
 		b.Outcome(now, Outcome{Request: id, Status: s, Took: time.Duration(1+n*n%13) * ms, Final: s == OK}, nil)
-		b.Left(now, id, nil)
+		b.Disconnected(now, id, nil)
 	}
 	id, bad := send()
 	end(id, ConnectFailed)
--- a/balance/lifecycle_test.go
+++ b/balance/lifecycle_test.go
@@ -14,12 +14,12 @@
 // site returns settings like those of a mesh with one class of each effect.
 func site() Settings {
 	return Settings{
-		MaxAttempts: 3, CanCancel: true, CanCopy: true, Round: 2 * ms,
-		ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3,
+		MaxAttempts: 3, CanCancel: true, CanHedge: true, CallInterval: 2 * ms,
+		InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3,
 		Classes: []Class{
-			{Name: "read", Aim: 200 * ms, Deadline: 500 * ms, Worth: 1, LateWorth: 0.5, Effect: Repeat, Group: GroupAll},
-			{Name: "join", Aim: 300 * ms, Deadline: 900 * ms, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 400 * ms},
-			{Name: "record", Aim: 300 * ms, Deadline: 900 * ms, Worth: 2, LateWorth: 0.5, Effect: Once, Group: GroupAll},
+			{Name: "read", LatencyObjective: 200 * ms, Deadline: 500 * ms, PriorityWeight: 1, LatePriorityWeight: 0.5, Idempotency: Idempotent, DedupScope: ScopeAll},
+			{Name: "join", LatencyObjective: 300 * ms, Deadline: 900 * ms, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 400 * ms},
+			{Name: "record", LatencyObjective: 300 * ms, Deadline: 900 * ms, PriorityWeight: 2, LatePriorityWeight: 0.5, Idempotency: NonIdempotent, DedupScope: ScopeAll},
 		},
 	}
 }
@@ -88,7 +88,7 @@
 		}
 		d.servers[s.ID] = s
 	}
-	return d.take(d.b.Members(d.now, kind, list, nil))
+	return d.take(d.b.Endpoints(d.now, kind, list, nil))
 }
 
 func (d *bed) request(id string, class int) []Action {
@@ -117,14 +117,14 @@
 			d.timers[d.now+a.Wait] = true
 		case Send:
 			d.checkSend(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			q := d.reqs[a.Request]
 			if q.answered {
 				d.breaks("rule 1: %s answered twice", a.Request)
 			}
 			q.answered = true
-			if a.Kind == Refuse && q.class.Effect != Repeat && d.anchor(q) >= 0 &&
-				!(q.class.Effect == Keyed && q.class.Group == GroupAll) {
+			if a.Kind == Reject && q.class.Idempotency != Idempotent && d.anchor(q) >= 0 &&
+				!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) {
 				d.breaks("rule 2: %s refused though it may have run", a.Request)
 			}
 		}
@@ -148,11 +148,11 @@
 		d.breaks("rule 1: %s sent after its answer", a.Request)
 	}
 	if first := d.anchor(q); first >= 0 {
-		switch q.class.Effect {
-		case Once:
+		switch q.class.Idempotency {
+		case NonIdempotent:
 			d.breaks("rule 2: %s sent again", a.Request)
-		case Keyed:
-			if d.now >= q.at[first]+q.class.Window || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
+		case IdempotentWithKey:
+			if d.now >= q.at[first]+q.class.DedupWindow || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
 				d.breaks("rule 2: %s sent outside its group", a.Request)
 			}
 		}
@@ -195,7 +195,7 @@
 func play(t testing.TB, seed uint64, ticks int) *bed {
 	d := newBed(t, site(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
-	d.members(ListSaved, fleet(12))
+	d.members(ListCached, fleet(12))
 	var open []string
 	for tick := range ticks {
 		d.step(2 * ms)
@@ -208,9 +208,9 @@
 			s := d.servers[fmt.Sprintf("s%d", rng.IntN(12))]
 			s.State = ServerState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.Started = d.now - 3*time.Second
+				s.StartTime = d.now - 3*time.Second
 			}
-			d.members(ListChange, []Server{s})
+			d.members(ListDelta, []Server{s})
 		}
 		for _, id := range open {
 			q := d.reqs[id]
@@ -218,7 +218,7 @@
 				if q.status[n] >= 0 || rng.IntN(25) > 0 {
 					continue
 				}
-				d.outcome(id, n, []Status{OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[rng.IntN(8)])
+				d.outcome(id, n, []Status{OK, OK, OK, Error, AtCapacity, Timeout, ConnectFailed, Reset}[rng.IntN(8)])
 			}
 		}
 		if len(open) > 60 {
@@ -248,9 +248,9 @@
 
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
 	d := newBed(t, site(), 1)
-	d.members(ListSaved, fleet(12))
+	d.members(ListCached, fleet(12))
 	d.request("a", 2)
-	d.take([]Action{{Kind: Send, Request: "a", Server: "s1"}, {Kind: Refuse, Request: "a"}, {Kind: Fail, Request: "a"},
+	d.take([]Action{{Kind: Send, Request: "a", Server: "s1"}, {Kind: Reject, Request: "a"}, {Kind: Fail, Request: "a"},
 		{Kind: Send, Request: "a", Server: "s2"}})
 	if len(d.broken) < 4 {
 		t.Errorf("planted breaches found: %q", d.broken)
@@ -270,14 +270,14 @@
 		resent bool
 		final  ActionKind // where not resent
 	}{
-		{0, Timeout, true, 0}, {0, Full, true, 0}, {0, Error, true, 0},
-		{1, Full, true, 0}, {1, ConnectFailed, true, 0}, {1, Reset, true, 0},
-		{2, Full, true, 0}, {2, ConnectFailed, true, 0},
+		{0, Timeout, true, 0}, {0, AtCapacity, true, 0}, {0, Error, true, 0},
+		{1, AtCapacity, true, 0}, {1, ConnectFailed, true, 0}, {1, Reset, true, 0},
+		{2, AtCapacity, true, 0}, {2, ConnectFailed, true, 0},
 		{2, Timeout, false, Fail}, {2, Reset, false, Fail}, {2, Error, false, Fail}, {2, Cancelled, false, Fail},
 	}
 	for _, tc := range tests {
 		d := newBed(t, site(), 3)
-		d.members(ListSaved, fleet(12))
+		d.members(ListCached, fleet(12))
 		d.request("a", tc.class)
 		d.step(10 * ms)
 		acts := d.outcome("a", 0, tc.status)
@@ -300,7 +300,7 @@
 // A request of a class not announced must be treated as the most careful kind.
 func TestUnknownClassRunsOnce(t *testing.T) {
 	b, _ := New(site(), 1)
-	b.Members(0, ListSaved, fleet(3), nil)
+	b.Endpoints(0, ListCached, fleet(3), nil)
 	b.Request(0, Request{ID: "x", Class: "?", Deadline: time.Second}, nil)
 	acts := b.Outcome(ms, Outcome{Request: "x", Status: Timeout, Took: ms}, nil)
 	if len(acts) == 0 || acts[0].Kind != Fail {
@@ -311,13 +311,13 @@
 // A drain is obeyed by a retry that already waits in its pause.
 func TestPausedRetryObeysDrain(t *testing.T) {
 	d := newBed(t, site(), 1)
-	d.members(ListSaved, fleet(2))
+	d.members(ListCached, fleet(2))
 	d.request("a", 0)
 	d.step(2 * ms)
-	d.outcome("a", 0, Full)
+	d.outcome("a", 0, AtCapacity)
 	list := fleet(2)
 	list[0].State, list[1].State = Draining, Draining
-	d.members(ListChange, list)
+	d.members(ListDelta, list)
 	d.step(500 * ms)
 	if len(d.broken) > 0 || len(d.reqs["a"].sends) != 1 || !d.reqs["a"].answered {
 		t.Errorf("broken %q, sends %v, answered %v", d.broken, d.reqs["a"].sends, d.reqs["a"].answered)
@@ -332,8 +332,8 @@
 		b, _ := New(site(), i+1)
 		list := fleet(servers)
 		now := time.Minute
-		list[7].Started = now
-		b.Members(now, ListSaved, list, nil)
+		list[7].StartTime = now
+		b.Endpoints(now, ListCached, list, nil)
 		for n := range rounds {
 			now += 50 * ms
 			id := fmt.Sprint(n)
@@ -349,7 +349,7 @@
 		}
 	}
 	even := float64(total) / servers
-	most := site().TipMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
+	most := site().WarmUpOverloadMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
 	if float64(sent) > most*0.6 || sent == 0 {
 		t.Errorf("cold server got %d of %d attempts, want some but at most %.0f", sent, total, most*0.6)
 	}
@@ -358,14 +358,14 @@
 // In an overload where answers come late, a share is refused at once (incident
 // i0a7fe6); where servers turn work away instead, nothing is refused early.
 func TestShedsOnLateAnswersOnly(t *testing.T) {
-	for _, status := range []Status{OK, Full} {
+	for _, status := range []Status{OK, AtCapacity} {
 		d := newBed(t, site(), 2)
-		d.members(ListSaved, fleet(12))
+		d.members(ListCached, fleet(12))
 		early := 0
 		for n := range 200 {
 			id := fmt.Sprint(n)
 			acts := d.request(id, 0)
-			if acts[0].Kind == Refuse {
+			if acts[0].Kind == Reject {
 				early++
 				continue
 			}
@@ -373,7 +373,7 @@
 				d.step(20 * ms)
 				q := d.reqs[id]
 				last := len(q.sends) - 1
-				if q.status[last] < 0 && (status == Full || d.now >= q.at[last]+300*ms) {
+				if q.status[last] < 0 && (status == AtCapacity || d.now >= q.at[last]+300*ms) {
 					d.outcome(id, last, status)
 				}
 			}
@@ -386,15 +386,15 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	tests := map[string]func(*Settings){
-		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Name":        func(s *Settings) { s.Classes[1].Name = "read" },
-		"Deadline":    func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"Effect":      func(s *Settings) { s.Classes[0].Effect = -1 },
-		"Group":       func(s *Settings) { s.Classes[0].Group = 9 },
-		"ColdShare":   func(s *Settings) { s.ColdShare = 1.5 },
-		"ColdTime":    func(s *Settings) { s.ColdTime = -1 },
-		"Window":      func(s *Settings) { s.Classes[0].Window = -1 },
+		"Classes":         func(s *Settings) { s.Classes = nil },
+		"Name":            func(s *Settings) { s.Classes[1].Name = "read" },
+		"Deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"MaxAttempts":     func(s *Settings) { s.MaxAttempts = 0 },
+		"Idempotency":     func(s *Settings) { s.Classes[0].Idempotency = -1 },
+		"DedupScope":      func(s *Settings) { s.Classes[0].DedupScope = 9 },
+		"InitialCapacity": func(s *Settings) { s.InitialCapacity = 1.5 },
+		"WarmUpTime":      func(s *Settings) { s.WarmUpTime = -1 },
+		"DedupWindow":     func(s *Settings) { s.Classes[0].DedupWindow = -1 },
 	}
 	for field, spoil := range tests {
 		s := site()
@@ -409,9 +409,9 @@
 	b, _ := New(site(), 1)
 	acts := b.Outcome(0, Outcome{Request: "?", Number: -3}, nil)
 	acts = b.Timer(0, 99, acts)
-	acts = b.Left(0, "?", acts)
+	acts = b.Disconnected(0, "?", acts)
 	acts = b.Started(0, "?", 4, acts)
-	acts = b.Members(0, ListFull, nil, acts)
+	acts = b.Endpoints(0, ListFull, nil, acts)
 	if len(acts) != 0 {
 		t.Errorf("stray events led to %v", acts)
 	}
@@ -419,7 +419,7 @@
 
 func BenchmarkDecision(bm *testing.B) {
 	b, _ := New(site(), 1)
-	b.Members(0, ListSaved, fleet(400), nil)
+	b.Endpoints(0, ListCached, fleet(400), nil)
 	now := time.Second
 	var acts []Action
 	for i := 0; bm.Loop(); i++ {
@@ -432,14 +432,14 @@
 
 func ExampleBalancer() {
 	b, err := New(Settings{
-		MaxAttempts: 3, ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3,
-		Classes: []Class{{Name: "read", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Effect: Repeat}},
+		MaxAttempts: 3, InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3,
+		Classes: []Class{{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: Idempotent}},
 	}, 1)
 	if err != nil {
 		panic(err)
 	}
 	now := 5 * time.Second // any clock that only moves on
-	b.Members(now, ListFull, []Server{{ID: "10.0.0.1:80"}}, nil)
+	b.Endpoints(now, ListFull, []Server{{ID: "10.0.0.1:80"}}, nil)
 	for _, a := range b.Request(now, Request{ID: "r1", Class: "read", Deadline: now + time.Second}, nil) {
 		if a.Kind == Send {
 			fmt.Println("send", a.Request, "to", a.Server)
@@ -454,29 +454,29 @@
 // sent at all until the first was warm.
 func TestAllServersCold(t *testing.T) {
 	set := site()
-	set.CanCopy, set.ColdShare, set.ColdTime, set.TipMultiple = false, 0.2, 20*time.Second, 3
+	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ := New(set, 4)
 	list := fleet(8)
-	b.Members(time.Second, ListFull, list, nil)
+	b.Endpoints(time.Second, ListFull, list, nil)
 	now, n := time.Minute, 0
 	ask := func(again bool) bool {
 		n++
 		now += 5 * ms
 		id := fmt.Sprint(n)
-		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms, Again: again}, nil))
+		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms, IsRetry: again}, nil))
 		if to != "" {
 			b.Outcome(now+ms, Outcome{Request: id, Status: OK, Took: ms, Final: true}, nil)
 		}
-		b.Left(now+ms, id, nil)
+		b.Disconnected(now+ms, id, nil)
 		return to != ""
 	}
 	for range 400 {
 		ask(false)
 	}
 	for i := range list {
-		list[i].Started = now
+		list[i].StartTime = now
 	}
-	b.Members(now, ListChange, list, nil)
+	b.Endpoints(now, ListDelta, list, nil)
 	first, again := 0, 0
 	for range 400 {
 		if ask(false) {
@@ -497,10 +497,10 @@
 func coldFleet(t *testing.T) (b *Balancer, list []Server, now *time.Duration, ask func() string) {
 	t.Helper()
 	set := site()
-	set.CanCopy, set.ColdShare, set.ColdTime, set.TipMultiple = false, 0.2, 20*time.Second, 3
+	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ = New(set, 4)
 	list = fleet(8)
-	b.Members(time.Second, ListFull, list, nil)
+	b.Endpoints(time.Second, ListFull, list, nil)
 	now, n := new(time.Duration), 0
 	*now = time.Minute
 	ask = func() string {
@@ -511,7 +511,7 @@
 		if to != "" {
 			b.Outcome(*now+ms, Outcome{Request: id, Status: OK, Took: ms, Final: true}, nil)
 		}
-		b.Left(*now+ms, id, nil)
+		b.Disconnected(*now+ms, id, nil)
 		return to
 	}
 	for range 400 {
@@ -526,12 +526,12 @@
 	b, list, now, ask := coldFleet(t)
 	gone := append([]Server(nil), list...)
 	for i := range gone {
-		gone[i].State = Gone
+		gone[i].State = Removed
 	}
-	b.Members(*now, ListChange, gone, nil)
+	b.Endpoints(*now, ListDelta, gone, nil)
 	*now += time.Second
-	list[0].Started = *now
-	b.Members(*now, ListChange, list[:1], nil)
+	list[0].StartTime = *now
+	b.Endpoints(*now, ListDelta, list[:1], nil)
 	sent := 0
 	for range 400 {
 		if ask() != "" {
--- a/balance/links_test.go
+++ b/balance/links_test.go
@@ -11,9 +11,9 @@
 func opened(t *testing.T, idleFor time.Duration, servers int, rate float64) float64 {
 	t.Helper()
 	set := site()
-	set.WarmKeys, set.CanCopy, set.IdleFor = true, false, idleFor
+	set.KeyAffinity, set.CanHedge, set.IdleTimeout = true, false, idleFor
 	b, _ := New(set, 9)
-	b.Members(time.Second, ListFull, fleet(servers), nil)
+	b.Endpoints(time.Second, ListFull, fleet(servers), nil)
 	const closes, took, requests = 5 * time.Second, 30 * ms, 3000
 	now, made := time.Minute, 0
 	last := map[string]time.Duration{} // when a server's one connection was used
@@ -51,9 +51,9 @@
 func linkWorld(t *testing.T) (b *Balancer, second string, ask func(now time.Duration) string) {
 	t.Helper()
 	set := site()
-	set.WarmKeys, set.CanCopy, set.IdleFor = true, false, 4*time.Second
+	set.KeyAffinity, set.CanHedge, set.IdleTimeout = true, false, 4*time.Second
 	b, _ = New(set, 9)
-	b.Members(time.Second, ListFull, fleet(12), nil)
+	b.Endpoints(time.Second, ListFull, fleet(12), nil)
 	seen, n := 0, 0
 	s := b.ring.find(hashString("a key"), func(*server) bool { seen++; return seen == 2 })
 	s.idle = []time.Duration{time.Minute + 10*ms}
@@ -80,7 +80,7 @@
 	}
 	b, other, ask := linkWorld(t)
 	b.release(soon)
-	if len(b.acts) != 1 || b.acts[0].Kind != Close || b.acts[0].Server != other {
+	if len(b.acts) != 1 || b.acts[0].Kind != CloseIdle || b.acts[0].Server != other {
 		t.Errorf("let go of %v, want the connection to %s", b.acts, other)
 	}
 	b.acts = nil
@@ -89,8 +89,8 @@
 	}
 	b, other, ask = linkWorld(t)
 	anew := b.byID[other].Server
-	anew.Started = 30 * time.Second // warm by now
-	b.Members(soon, ListChange, []Server{anew}, nil)
+	anew.StartTime = 30 * time.Second // warm by now
+	b.Endpoints(soon, ListDelta, []Server{anew}, nil)
 	if to := ask(soon); to == other {
 		t.Errorf("sent to %s, which has started anew", to)
 	}
@@ -114,12 +114,12 @@
 // key keeps to a few servers, which hold what it needs.
 func TestAConnectionDrawsItsPartOfTheKeys(t *testing.T) {
 	set := site()
-	set.WarmKeys, set.CanCopy, set.IdleFor = true, false, 4*time.Second
+	set.KeyAffinity, set.CanHedge, set.IdleTimeout = true, false, 4*time.Second
 	drawn := 0
 	const keys, servers = 400, 180
 	for i := range keys {
 		b, _ := New(set, uint64(i))
-		b.Members(time.Second, ListFull, fleet(servers), nil)
+		b.Endpoints(time.Second, ListFull, fleet(servers), nil)
 		b.byID[fleet(servers)[7].ID].idle = []time.Duration{time.Minute}
 		q := Request{ID: "1", Class: "read", Key: fmt.Sprint("k", i), Deadline: time.Minute + time.Second}
 		if sentTo(b.Request(time.Minute+ms, q, nil)) == fleet(servers)[7].ID {
--- a/balance/members.go
+++ b/balance/members.go
@@ -15,16 +15,16 @@
 const (
 	Ready ServerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Server is one entry of the server list.
 type Server struct {
-	ID      string
-	Zone    string
-	Cell    int
-	Started time.Duration // latest start; 0 for long ago
-	State   ServerState
+	ID        string
+	Zone      string
+	Cell      int
+	StartTime time.Duration // latest start; 0 for long ago
+	State     ServerState
 }
 
 // ListKind says how a list is to be read.
@@ -33,8 +33,8 @@
 // The kinds of list.
 const (
 	ListFull   ListKind = iota // the complete list
-	ListSaved                  // the complete list as last held, maybe old
-	ListChange                 // changed entries only
+	ListCached                 // the complete list as last held, maybe old
+	ListDelta                  // changed entries only
 	ListFailed                 // a call for the list failed; the old list stays
 )
 
@@ -61,17 +61,17 @@
 }
 
 // certain returns the share of its full capacity that a server has at least:
-// it rises evenly from ColdShare at its start to 1 after ColdTime.
+// it rises evenly from InitialCapacity at its start to 1 after WarmUpTime.
 func (b *Balancer) certain(s *server, now time.Duration) float64 {
-	if s.Started <= 0 || b.set.ColdTime <= 0 || now-s.Started >= b.set.ColdTime {
+	if s.StartTime <= 0 || b.set.WarmUpTime <= 0 || now-s.StartTime >= b.set.WarmUpTime {
 		return 1
 	}
-	age := max(0, float64(now-s.Started)/float64(b.set.ColdTime))
-	return b.set.ColdShare + (1-b.set.ColdShare)*age
+	age := max(0, float64(now-s.StartTime)/float64(b.set.WarmUpTime))
+	return b.set.InitialCapacity + (1-b.set.InitialCapacity)*age
 }
 
-// Members takes a server list or changes to it.
-func (b *Balancer) Members(now time.Duration, kind ListKind, entries []Server, acts []Action) []Action {
+// Endpoints takes a server list or changes to it.
+func (b *Balancer) Endpoints(now time.Duration, kind ListKind, entries []Server, acts []Action) []Action {
 	b.acts = acts
 	if kind == ListFailed {
 		b.subscribeLater(now, true)
@@ -82,10 +82,10 @@
 	for i := range entries {
 		added = b.apply(now, &entries[i], added)
 	}
-	if kind != ListChange {
+	if kind != ListDelta {
 		for _, s := range b.all {
 			if s.mark != b.listMark {
-				s.State = Gone
+				s.State = Removed
 				b.place(s)
 			}
 		}
@@ -93,7 +93,7 @@
 	b.forgetGone()
 	b.ring.add(added)
 	b.warmAt = now
-	if kind == ListSaved {
+	if kind == ListCached {
 		b.subscribeLater(now, false)
 	} else {
 		b.subscribed = true
@@ -106,17 +106,17 @@
 func (b *Balancer) apply(now time.Duration, e *Server, added []ringPoint) []ringPoint {
 	s := b.byID[e.ID]
 	if s == nil {
-		if e.State == Gone {
+		if e.State == Removed {
 			return added
 		}
 		s = &server{hash: hashString(e.ID)}
 		s.order = mix(s.hash ^ b.salt)
 		b.byID[e.ID] = s
 		b.all = append(b.all, s)
-		for i := uint64(0); b.set.WarmKeys && i < ringPoints; i++ {
+		for i := uint64(0); b.set.KeyAffinity && i < ringPoints; i++ {
 			added = append(added, ringPoint{mix(s.hash + i*0x9e3779b97f4a7c15), s})
 		}
-	} else if e.Started > s.Started {
+	} else if e.StartTime > s.StartTime {
 		s.ratio, s.count, s.health, s.idle = 0, 0, health{}, nil
 	}
 	s.Server, s.mark = *e, b.listMark
@@ -138,7 +138,7 @@
 
 // forgetGone drops the servers that left the list.
 func (b *Balancer) forgetGone() {
-	gone := func(s *server) bool { return s.State == Gone }
+	gone := func(s *server) bool { return s.State == Removed }
 	maps.DeleteFunc(b.byID, func(_ string, s *server) bool { return gone(s) })
 	b.all = slices.DeleteFunc(b.all, gone)
 	b.ejections = slices.DeleteFunc(b.ejections, gone)
@@ -166,7 +166,7 @@
 
 // patience is how many failures in a row, the last of this status, eject a
 // server. One that turns all away answers fast, and would draw on.
-var patience = map[Status]int{Full: 4, Error: 3, Timeout: 2, Reset: 2, Unwritten: 2, ConnectFailed: 1}
+var patience = map[Status]int{AtCapacity: 4, Error: 3, Timeout: 2, Reset: 2, PartialWrite: 2, ConnectFailed: 1}
 
 // observe takes the result of an attempt into what is known of its server.
 func (b *Balancer) observe(now time.Duration, a *attempt, status Status, took time.Duration) {
@@ -188,7 +188,7 @@
 	default:
 		ratio = max(failurePenalty, ratio)
 	}
-	if status == ConnectFailed || status == Full && a.fresh {
+	if status == ConnectFailed || status == AtCapacity && a.fresh {
 		b.release(now)
 	}
 	b.sample(s, now, ratio)
@@ -220,7 +220,7 @@
 	}
 	if oldest != nil {
 		oldest.idle = nil
-		b.act(Action{Kind: Close, Server: oldest.ID})
+		b.act(Action{Kind: CloseIdle, Server: oldest.ID})
 	}
 }
 
--- a/balance/noticed_test.go
+++ b/balance/noticed_test.go
@@ -17,11 +17,11 @@
 		again bool
 	}{{50 * ms, true}, {450 * ms, false}} {
 		set := site()
-		set.CanCopy = false
-		set.Classes[1].Aim, set.Classes[1].Deadline = 2*time.Second, 2*time.Second
+		set.CanHedge = false
+		set.Classes[1].LatencyObjective, set.Classes[1].Deadline = 2*time.Second, 2*time.Second
 		b, _ := New(set, 3)
 		now := time.Minute
-		b.Members(now, ListFull, fleet(9), nil)
+		b.Endpoints(now, ListFull, fleet(9), nil)
 		b.Request(now, Request{ID: "a", Class: "join", Deadline: now + 2*time.Second}, nil)
 		now += tc.after
 		acts := b.Outcome(now, Outcome{Request: "a", Status: Reset, Took: tc.after}, nil)
@@ -43,10 +43,10 @@
 	worse := 0
 	for seed := range uint64(40) {
 		set := site()
-		set.CanCopy = false
+		set.CanHedge = false
 		b, _ := New(set, seed)
 		now := time.Minute
-		b.Members(now, ListFull, fleet(2), nil)
+		b.Endpoints(now, ListFull, fleet(2), nil)
 		hung := sentTo(b.Request(now, Request{ID: "old", Class: "record", Deadline: now + time.Hour}, nil))
 		now += 600 * ms
 		for i := 0; ; i++ {
@@ -55,7 +55,7 @@
 			if to != hung {
 				break // one is out at each now
 			}
-			b.Left(now, id, nil)
+			b.Disconnected(now, id, nil)
 			b.Outcome(now, Outcome{Request: id, Status: NeverSent, Final: true}, nil)
 		}
 		if sentTo(b.Request(now, Request{ID: "next", Class: "record", Deadline: now + time.Hour}, nil)) == hung {
@@ -71,10 +71,10 @@
 // well, also while all others are busy.
 func TestSingleTrialWhileOthersAreBusy(t *testing.T) {
 	set := site()
-	set.CanCopy = false
+	set.CanHedge = false
 	b, _ := New(set, 9)
 	now := time.Minute
-	b.Members(now, ListFull, fleet(4), nil)
+	b.Endpoints(now, ListFull, fleet(4), nil)
 	n := 0
 	send := func() (id, to string) {
 		n++
@@ -83,7 +83,7 @@
 	}
 	id, bad := send()
 	b.Outcome(now, Outcome{Request: id, Status: ConnectFailed, Took: ms}, nil)
-	b.Left(now, id, nil)
+	b.Disconnected(now, id, nil)
 	now = b.byID[bad].until + time.Minute
 	got := 0
 	for range 60 {
@@ -111,7 +111,7 @@
 		for i := 0; i < 50 && len(acts) == 0; i++ {
 			acts = b.Request(now, Request{ID: fmt.Sprint(i), Class: "read", Deadline: now}, nil)
 		}
-		if len(acts) == 0 || acts[0].Kind != Refuse || acts[0].Wait.Seconds() != tc.want {
+		if len(acts) == 0 || acts[0].Kind != Reject || acts[0].Wait.Seconds() != tc.want {
 			t.Errorf("%+v: %v", tc, acts)
 		}
 	}
@@ -122,7 +122,7 @@
 func TestLosersAreCancelled(t *testing.T) {
 	b, _ := New(site(), 4)
 	now := time.Minute
-	b.Members(now, ListFull, fleet(9), nil)
+	b.Endpoints(now, ListFull, fleet(9), nil)
 	cancelled := func(acts []Action) (n []int) {
 		for _, a := range acts {
 			if a.Kind == Cancel {
@@ -147,7 +147,7 @@
 		t.Errorf("when the copy won %v was cancelled, want the first", got)
 	}
 	b.Request(now, Request{ID: "b", Class: "record", Deadline: now + 500*ms}, nil)
-	if got := cancelled(b.Left(now, "b", nil)); len(got) != 1 {
+	if got := cancelled(b.Disconnected(now, "b", nil)); len(got) != 1 {
 		t.Errorf("when the client left %v was cancelled", got)
 	}
 }
--- a/balance/over_test.go
+++ b/balance/over_test.go
@@ -11,7 +11,7 @@
 // more.
 func TestOver(t *testing.T) {
 	set := site()
-	set.CanCopy = false
+	set.CanHedge = false
 	d := newBed(t, set, 4)
 	d.members(ListFull, fleet(6))
 	for id, class := range map[string]int{"read": 0, "join": 1, "record": 2, "never": 2, "done": 0} {
@@ -23,15 +23,15 @@
 	d.outcome("never", 0, ConnectFailed) // it waits for its retry
 	d.now += ms
 	got := map[string]ActionKind{}
-	for _, a := range d.take(d.b.Timer(d.now, Over, nil)) {
+	for _, a := range d.take(d.b.Timer(d.now, Shutdown, nil)) {
 		switch a.Kind {
-		case Refuse, Fail:
+		case Reject, Fail:
 			got[a.Request] = a.Kind
 		case Send:
 			t.Errorf("%s was sent to %s", a.Request, a.Server)
 		}
 	}
-	want := map[string]ActionKind{"read": Refuse, "join": Fail, "record": Fail, "never": Refuse}
+	want := map[string]ActionKind{"read": Reject, "join": Fail, "record": Fail, "never": Reject}
 	for id, kind := range want {
 		if got[id] != kind {
 			t.Errorf("%s: answer %v, want %v", id, got[id], kind)
@@ -41,7 +41,7 @@
 		t.Errorf("answers %v", got)
 	}
 	// It is harmless where nothing is open, and the module goes on.
-	d.take(d.b.Timer(d.now+time.Second, Over, nil))
+	d.take(d.b.Timer(d.now+time.Second, Shutdown, nil))
 	d.now += time.Second
 	sent := 0
 	for i := range 20 { // some may be shed: the module takes what ended for late
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -68,17 +68,17 @@
 
 // usable tells whether a server can take an attempt of r now.
 func (b *Balancer) usable(r *request, s *server, now time.Duration) bool {
-	tried := func(a *attempt) bool { return a.server == s && a.status != Full && a.status != NeverSent }
+	tried := func(a *attempt) bool { return a.server == s && a.status != AtCapacity && a.status != NeverSent }
 	if s.State != Ready || s.until > now || s.outs > 0 && s.trial || slices.ContainsFunc(r.attempts, tried) {
 		return false
 	}
 	// Rule 2: once a keyed request may have run, only its group drops a repeat.
-	return r.anchor == nil || sameGroup(r.class.Group, s, r.anchor.server)
+	return r.anchor == nil || sameGroup(r.class.DedupScope, s, r.anchor.server)
 }
 
 // sameGroup tells whether two servers drop each other's repeats.
-func sameGroup(g Group, a, b *server) bool {
-	return g == GroupAll || g == GroupZone && a.Zone == b.Zone || g == GroupCell && a.Cell == b.Cell
+func sameGroup(g DedupScope, a, b *server) bool {
+	return g == ScopeAll || g == ScopeZone && a.Zone == b.Zone || g == ScopeCell && a.Cell == b.Cell
 }
 
 // pick takes the better of two sampled servers; nil when there is none.
@@ -115,12 +115,12 @@
 	if warm := float64(b.countWarm(now)); warm > 0 {
 		perWarm = b.success * min(coldSpread, n/warm)
 		b.perWarm, b.warmLast = min(perWarm, 1), warm
-	} else if !r.Again {
+	} else if !r.IsRetry {
 		perWarm = b.perWarm * min(1, n/b.warmLast)
 	}
 	s := b.ready[b.rng.IntN(len(b.ready))]
 	c := b.certain(s, now)
-	if c >= 1 || !b.usable(r, s, now) || b.rng.Float64() >= c*coldMargin*max(b.set.TipMultiple, 1)*perWarm {
+	if c >= 1 || !b.usable(r, s, now) || b.rng.Float64() >= c*coldMargin*max(b.set.WarmUpOverloadMultiple, 1)*perWarm {
 		return nil
 	}
 	return s
@@ -145,7 +145,7 @@
 	ok := func(s *server) bool {
 		return s != other && b.usable(r, s, now) && b.certain(s, now) >= 1
 	}
-	if b.set.WarmKeys && r.key != 0 {
+	if b.set.KeyAffinity && r.key != 0 {
 		if s := b.drawKey(r, now, ok); s != nil {
 			return s
 		}
@@ -187,7 +187,7 @@
 
 // linked tells whether an idle connection to a server is held.
 func (b *Balancer) linked(s *server, now time.Duration) bool {
-	return len(s.idle) > 0 && now-s.idle[len(s.idle)-1] < b.set.IdleFor
+	return len(s.idle) > 0 && now-s.idle[len(s.idle)-1] < b.set.IdleTimeout
 }
 
 // subset is the number of servers, the first of the ready list, that samples
@@ -239,5 +239,5 @@
 	if l := b.classStat[r.classAt].latency; l > 0 {
 		return max(l*b.workFactor(r), float64(time.Millisecond))
 	}
-	return max(float64(r.class.Aim)/4, float64(time.Millisecond))
+	return max(float64(r.class.LatencyObjective)/4, float64(time.Millisecond))
 }
--- a/balance/recording_test.go
+++ b/balance/recording_test.go
@@ -31,12 +31,12 @@
 var recordedRuns = []recordedRun{
 	{"all", 1, 36, func(*Settings) {}},
 	{"all", 2, 12, func(*Settings) {}},
-	{"keys", 3, 60, func(s *Settings) { s.WarmKeys, s.CanCopy = true, false }},
-	{"keys", 4, 24, func(s *Settings) { s.WarmKeys = true }},
+	{"keys", 3, 60, func(s *Settings) { s.KeyAffinity, s.CanHedge = true, false }},
+	{"keys", 4, 24, func(s *Settings) { s.KeyAffinity = true }},
 	{"no-cancel", 5, 24, func(s *Settings) { s.CanCancel, s.RetryAfter = false, 0 }},
-	{"no-copy", 6, 8, func(s *Settings) { s.CanCopy, s.MaxAttempts = false, 2 }},
-	{"no-tenants", 7, 200, func(s *Settings) { s.Tenants, s.OverShare, s.Subscribe = nil, 1, false }},
-	{"no-cold", 8, 16, func(s *Settings) { s.ColdTime, s.TipMultiple, s.IdleFor = 0, 0, 0 }},
+	{"no-copy", 6, 8, func(s *Settings) { s.CanHedge, s.MaxAttempts = false, 2 }},
+	{"no-tenants", 7, 200, func(s *Settings) { s.Tenants, s.OverQuotaWeight, s.Subscribe = nil, 1, false }},
+	{"no-cold", 8, 16, func(s *Settings) { s.WarmUpTime, s.WarmUpOverloadMultiple, s.IdleTimeout = 0, 0, 0 }},
 }
 
 // recordedEvent is an event that is due later.
@@ -57,15 +57,15 @@
 	phase    int
 	block    []byte // text of the events since the last line
 	events   int
-	kinds    [Close + 1]int
-	total    [Close + 1]int
+	kinds    [CloseIdle + 1]int
+	total    [CloseIdle + 1]int
 	statuses [statuses]int
 	lines    []string
 }
 
 // recordedAction is the text of an action; it names no identifier of the program.
 func recordedAction(a Action) string {
-	return fmt.Sprintf("%d %q %q %d %d %d %d", int(a.Kind), a.Request, a.Server, a.Number, int64(a.Wait), int64(a.Latest), a.Token)
+	return fmt.Sprintf("%d %q %q %d %d %d %d", int(a.Kind), a.Request, a.Server, a.Number, int64(a.Wait), int64(a.SendDeadline), a.Token)
 }
 
 // recordedState appends what a balancer has learnt, to the last bit.
@@ -84,11 +84,11 @@
 	t.Helper()
 	set := site()
 	set.Classes = append(set.Classes,
-		Class{Name: "stretched", Aim: 40 * ms, AimStretch: 3, Deadline: 700 * ms, Worth: 0.4, Effect: Repeat, Group: GroupZone},
-		Class{Name: "anywhere", Aim: 250 * ms, Deadline: 800 * ms, Worth: 5, LateWorth: 0.1, Effect: Keyed, Group: GroupAll, Window: 300 * ms},
-		Class{Name: "zonal", Aim: 150 * ms, Deadline: 600 * ms, Worth: 1, Effect: Keyed, Group: GroupZone, Window: 500 * ms})
+		Class{Name: "stretched", LatencyObjective: 40 * ms, ObjectivePerWork: 3, Deadline: 700 * ms, PriorityWeight: 0.4, Idempotency: Idempotent, DedupScope: ScopeZone},
+		Class{Name: "anywhere", LatencyObjective: 250 * ms, Deadline: 800 * ms, PriorityWeight: 5, LatePriorityWeight: 0.1, Idempotency: IdempotentWithKey, DedupScope: ScopeAll, DedupWindow: 300 * ms},
+		Class{Name: "zonal", LatencyObjective: 150 * ms, Deadline: 600 * ms, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 500 * ms})
 	set.Tenants = []Tenant{{"big", 600}, {"small", 100}, {"none", 0}}
-	set.OverShare, set.Subscribe, set.RetryAfter, set.IdleFor = 0.05, true, time.Second, 4*time.Second
+	set.OverQuotaWeight, set.Subscribe, set.RetryAfter, set.IdleTimeout = 0.05, true, time.Second, 4*time.Second
 	run.change(&set)
 	b, err := New(set, run.seed)
 	if err != nil {
@@ -130,11 +130,11 @@
 func (r *recorder) flush() {
 	r.block = recordedState(r.block, r.balancer)
 	sum := sha256.Sum256(r.block)
-	r.lines = append(r.lines, fmt.Sprintf("%s-%d %d %v %d %x", r.run.name, r.run.seed, r.events, r.kinds, r.balancer.Held(), sum[:12]))
+	r.lines = append(r.lines, fmt.Sprintf("%s-%d %d %v %d %x", r.run.name, r.run.seed, r.events, r.kinds, r.balancer.Retained(), sum[:12]))
 	for i, n := range r.kinds {
 		r.total[i] += n
 	}
-	r.kinds = [Close + 1]int{}
+	r.kinds = [CloseIdle + 1]int{}
 	r.block = r.block[:0]
 }
 
@@ -157,7 +157,7 @@
 	case r.phase == 3 && slow: // some servers are dead
 		status, took = ConnectFailed, 2*ms
 	case r.phase == 4 && r.rng.IntN(2) == 0: // servers shed
-		status, took = Full, ms
+		status, took = AtCapacity, ms
 	case slow:
 		took *= 4
 	case r.rng.IntN(50) == 0:
@@ -179,7 +179,7 @@
 }
 
 func (r *recorder) members(kind ListKind, entries []Server) {
-	r.take("members", r.balancer.Members(r.now, kind, entries, nil))
+	r.take("members", r.balancer.Endpoints(r.now, kind, entries, nil))
 }
 
 // request sends a drawn request.
@@ -188,7 +188,7 @@
 	if n := r.rng.IntN(len(r.balancer.set.Classes)); r.balancer.set.Classes[n].Name != "" {
 		class = r.balancer.set.Classes[n]
 	}
-	q := Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline, Again: r.rng.IntN(8) == 0,
+	q := Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline, IsRetry: r.rng.IntN(8) == 0,
 		Tenant: []string{"big", "big", "small", "none", "unknown"}[r.rng.IntN(5)]}
 	if r.rng.IntN(3) > 0 {
 		q.Key = fmt.Sprint("key", r.rng.IntN(40))
@@ -205,17 +205,17 @@
 	i := r.rng.IntN(len(r.list))
 	r.list[i].State = ServerState(max(0, r.rng.IntN(6)-3))
 	if r.rng.IntN(2) == 0 {
-		r.list[i].Started = r.now - time.Duration(r.rng.IntN(25000))*ms
+		r.list[i].StartTime = r.now - time.Duration(r.rng.IntN(25000))*ms
 	}
 	switch r.rng.IntN(10) {
 	case 0:
-		r.members(ListSaved, r.list)
+		r.members(ListCached, r.list)
 	case 1, 3, 4:
 		r.members(ListFailed, nil)
 	case 2:
 		r.members(ListFull, r.list[:len(r.list)-r.rng.IntN(3)])
 	default:
-		r.members(ListChange, r.list[i:i+1])
+		r.members(ListDelta, r.list[i:i+1])
 	}
 }
 
@@ -224,7 +224,7 @@
 	id := r.open[r.rng.IntN(len(r.open))]
 	switch r.rng.IntN(6) {
 	case 0:
-		r.take("left", r.balancer.Left(r.now, id, nil))
+		r.take("left", r.balancer.Disconnected(r.now, id, nil))
 	case 1:
 		r.take("outcome", r.balancer.Outcome(r.now, Outcome{Request: id, Number: r.rng.IntN(4) - 1, Status: OK, Took: ms}, nil))
 	case 2:
@@ -234,12 +234,12 @@
 	case 4:
 		classes := append([]Class(nil), r.balancer.set.Classes[:len(r.balancer.set.Classes)-1]...)
 		at := r.rng.IntN(len(classes))
-		classes[at].Worth, classes[at].Aim = 1+float64(r.rng.IntN(4)), time.Duration(50+r.rng.IntN(300))*ms
+		classes[at].PriorityWeight, classes[at].LatencyObjective = 1+float64(r.rng.IntN(4)), time.Duration(50+r.rng.IntN(300))*ms
 		tenants := r.balancer.set.Tenants
 		if r.rng.IntN(2) == 0 && tenants != nil {
 			tenants = []Tenant{{"big", float64(100 + r.rng.IntN(500))}, {"small", 100}, {"none", 0}}
 		}
-		r.take(fmt.Sprint("change", r.balancer.Change(classes, tenants) == nil), nil)
+		r.take(fmt.Sprint("change", r.balancer.Reconfigure(classes, tenants) == nil), nil)
 	case 5:
 		r.take("started", r.balancer.Started(r.now, id, r.rng.IntN(3), nil))
 	}
@@ -257,14 +257,14 @@
 }
 
 func (r *recorder) play() {
-	r.members(ListSaved, r.list)
+	r.members(ListCached, r.list)
 	for tick := range recordingTicks {
 		r.now += ms
 		r.phase = (tick / 1000) % 7
 		r.step()
 		if tick == recordingTicks*3/4 { // a restart of the whole fleet: all are cold
 			for i := range r.list {
-				r.list[i].State, r.list[i].Started = Ready, r.now
+				r.list[i].State, r.list[i].StartTime = Ready, r.now
 			}
 			r.members(ListFull, r.list)
 		}
@@ -279,7 +279,7 @@
 		}
 		r.open = r.open[max(0, len(r.open)-30):]
 	}
-	r.take("over", r.balancer.Timer(r.now, Over, nil))
+	r.take("over", r.balancer.Timer(r.now, Shutdown, nil))
 	r.flush()
 }
 
@@ -287,7 +287,7 @@
 // status and action, with what the module did when the recording was made.
 func TestActionsEqualTheRecording(t *testing.T) {
 	var lines []string
-	var kinds [Close + 1]int
+	var kinds [CloseIdle + 1]int
 	var ends [statuses]int
 	for _, run := range recordedRuns {
 		r := newRecorder(t, run)
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -63,37 +63,37 @@
 	subscribeSpread = 2 * time.Second // first subscription, spread evenly over this; later ones half of it later
 )
 
-// Effect says what repeating a request of a class can do.
-type Effect int
+// Idempotency says what repeating a request of a class can do.
+type Idempotency int
 
 // The kinds of effect, most careful first.
 const (
-	Once   Effect = iota // must never run twice
-	Keyed                // servers of one Group drop repeats for Window
-	Repeat               // may run any number of times
+	NonIdempotent     Idempotency = iota // must never run twice
+	IdempotentWithKey                    // servers of one Group drop repeats for Window
+	Idempotent                           // may run any number of times
 )
 
-// Group names the servers that know each other's keyed requests.
-type Group int
+// DedupScope names the servers that know each other's keyed requests.
+type DedupScope int
 
 // The groups, narrowest first.
 const (
-	GroupCell Group = iota
-	GroupZone
-	GroupAll
+	ScopeCell DedupScope = iota
+	ScopeZone
+	ScopeAll
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // answers within this earn the full worth
-	AimStretch float64       // the aim grows by this multiple of the request's work
-	Deadline   time.Duration // the client's whole wait, over all its tries
-	Worth      float64
-	LateWorth  float64 // share of Worth left after the aim
-	Effect     Effect
-	Group      Group
-	Window     time.Duration // how long a Group drops repeats
+	Name               string
+	LatencyObjective   time.Duration // answers within this earn the full worth
+	ObjectivePerWork   float64       // the aim grows by this multiple of the request's work
+	Deadline           time.Duration // the client's whole wait, over all its tries
+	PriorityWeight     float64
+	LatePriorityWeight float64 // share of Worth left after the aim
+	Idempotency        Idempotency
+	DedupScope         DedupScope
+	DedupWindow        time.Duration // how long a Group drops repeats
 }
 
 // Tenant is one customer with its agreed rate over all balancers.
@@ -104,20 +104,20 @@
 
 // Settings are what a deployment states at start.
 type Settings struct {
-	Classes     []Class
-	Tenants     []Tenant
-	OverShare   float64 // worth of a request above its tenant's share
-	WarmKeys    bool    // a server that met a key lately serves it cheaper
-	Subscribe   bool    // the server list comes only when asked for
-	MaxAttempts int
-	CanCancel   bool
-	CanCopy     bool          // two attempts of a request may be out together
-	RetryAfter  time.Duration // longest advice that clients heed; 0 for none
-	IdleFor     time.Duration // a connection may be used after being idle for less than this
-	Round       time.Duration // least time between two calls
-	ColdShare   float64       // share of its capacity that a server starts with
-	ColdTime    time.Duration // and is warm after
-	TipMultiple float64       // a cold server falls over at this multiple of its capacity
+	Classes                []Class
+	Tenants                []Tenant
+	OverQuotaWeight        float64 // worth of a request above its tenant's share
+	KeyAffinity            bool    // a server that met a key lately serves it cheaper
+	Subscribe              bool    // the server list comes only when asked for
+	MaxAttempts            int
+	CanCancel              bool
+	CanHedge               bool          // two attempts of a request may be out together
+	RetryAfter             time.Duration // longest advice that clients heed; 0 for none
+	IdleTimeout            time.Duration // a connection may be used after being idle for less than this
+	CallInterval           time.Duration // least time between two calls
+	InitialCapacity        float64       // share of its capacity that a server starts with
+	WarmUpTime             time.Duration // and is warm after
+	WarmUpOverloadMultiple float64       // a cold server falls over at this multiple of its capacity
 }
 
 // validate returns an error that names the first field that can't be used.
@@ -127,10 +127,10 @@
 		if bad := cmp.Or(
 			textIf(seen[c.Name], "Name: given twice"),
 			textIf(c.Deadline <= 0, "Deadline: not positive"),
-			textIf(c.Aim < 0, "Aim: negative"),
-			textIf(c.Window < 0, "Window: negative"),
-			textIf(c.Effect < Once || c.Effect > Repeat, "Effect: unknown"),
-			textIf(c.Group < GroupCell || c.Group > GroupAll, "Group: unknown"),
+			textIf(c.LatencyObjective < 0, "LatencyObjective: negative"),
+			textIf(c.DedupWindow < 0, "DedupWindow: negative"),
+			textIf(c.Idempotency < NonIdempotent || c.Idempotency > Idempotent, "Idempotency: unknown"),
+			textIf(c.DedupScope < ScopeCell || c.DedupScope > ScopeAll, "DedupScope: unknown"),
 		); bad != "" {
 			return fmt.Errorf("balance: class %q: %s", c.Name, bad)
 		}
@@ -139,8 +139,8 @@
 	if bad := cmp.Or(
 		textIf(len(s.Classes) == 0, "Classes: none given"),
 		textIf(s.MaxAttempts <= 0, "MaxAttempts: not positive"),
-		textIf(!(s.ColdShare > 0 && s.ColdShare <= 1), "ColdShare: outside (0,1]"),
-		textIf(s.ColdTime < 0 || s.RetryAfter < 0 || s.Round < 0, "ColdTime, RetryAfter or Round: negative"),
+		textIf(!(s.InitialCapacity > 0 && s.InitialCapacity <= 1), "InitialCapacity: outside (0,1]"),
+		textIf(s.WarmUpTime < 0 || s.RetryAfter < 0 || s.CallInterval < 0, "WarmUpTime, RetryAfter or CallInterval: negative"),
 	); bad != "" {
 		return fmt.Errorf("balance: %s", bad)
 	}
--- a/balance/shed_test.go
+++ b/balance/shed_test.go
@@ -10,14 +10,14 @@
 // aim, then counts how many of 200 more are refused at once.
 func shareRefused(class string, n int, gap time.Duration) float64 {
 	b, _ := New(site(), 5)
-	b.Members(time.Second, ListFull, fleet(9), nil)
+	b.Endpoints(time.Second, ListFull, fleet(9), nil)
 	now, refused := time.Minute, 0
 	send := func(id string) bool {
 		now += gap
 		acts := b.Request(now, Request{ID: id, Class: class, Deadline: now + 900*ms}, nil)
 		b.Timer(now+time.Second, 0, nil)
 		b.Outcome(now+time.Second, Outcome{Request: id, Status: Cancelled, Took: time.Second, Final: true}, nil)
-		return acts[0].Kind == Refuse
+		return acts[0].Kind == Reject
 	}
 	for i := range n {
 		send(fmt.Sprint("warm", i))
@@ -62,9 +62,9 @@
 // the home is much worse (bosch-hearings, big-2).
 func TestKeyStaysAtItsHome(t *testing.T) {
 	set := site()
-	set.WarmKeys, set.CanCopy = true, false
+	set.KeyAffinity, set.CanHedge = true, false
 	b, _ := New(set, 6)
-	b.Members(time.Second, ListFull, fleet(12), nil)
+	b.Endpoints(time.Second, ListFull, fleet(12), nil)
 	now, n := time.Minute, 0
 	homes := func(slow string) map[string]int {
 		sent := map[string]int{}
@@ -111,10 +111,10 @@
 	b, _ := New(site(), 7)
 	list := fleet(12)
 	for i := range list {
-		list[i].Started = time.Minute - time.Second // all cold
+		list[i].StartTime = time.Minute - time.Second // all cold
 	}
-	list[0].Started = 0
-	b.Members(time.Minute, ListFull, list, nil)
+	list[0].StartTime = 0
+	b.Endpoints(time.Minute, ListFull, list, nil)
 	now := time.Minute
 	for i := range 400 {
 		now += 20 * ms
--- a/balance/subscribe_test.go
+++ b/balance/subscribe_test.go
@@ -17,12 +17,12 @@
 		t.Run(name, func(t *testing.T) {
 			var first, last time.Duration
 			for seed := range uint64(20) {
-				b, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}, MaxAttempts: 1, ColdShare: 1, Subscribe: true}, seed)
+				b, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}, MaxAttempts: 1, InitialCapacity: 1, Subscribe: true}, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
 				now := time.Hour
-				acts := b.Members(now, ListSaved, nil, nil)
+				acts := b.Endpoints(now, ListCached, nil, nil)
 				for range 12 {
 					asked := false
 					for !asked {
@@ -44,7 +44,7 @@
 					}
 					now += took
 					failed := now
-					acts = b.Members(now, ListFailed, nil, nil)
+					acts = b.Endpoints(now, ListFailed, nil, nil)
 					for _, a := range acts {
 						if a.Kind == Timer {
 							wait := now + a.Wait - failed
@@ -71,20 +71,20 @@
 // made, for no other will be.
 func TestWatchThatBreaksBeforeACallIsDueIsMadeGood(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		b, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}, MaxAttempts: 1, ColdShare: 1, Subscribe: true}, 3)
+		b, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}, MaxAttempts: 1, InitialCapacity: 1, Subscribe: true}, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		acts := b.Members(now, ListSaved, nil, nil)
+		acts := b.Endpoints(now, ListCached, nil, nil)
 		if failed {
 			now += acts[0].Wait
 			b.Timer(now, acts[0].Token, nil)
-			acts = b.Members(now, ListFailed, nil, nil)
+			acts = b.Endpoints(now, ListFailed, nil, nil)
 		}
 		due := now + acts[0].Wait
-		b.Members(now+1, ListFull, []Server{{ID: "a"}}, nil)
-		acts = append(acts[:1], b.Members(now+2, ListFailed, nil, nil)...)
+		b.Endpoints(now+1, ListFull, []Server{{ID: "a"}}, nil)
+		acts = append(acts[:1], b.Endpoints(now+2, ListFailed, nil, nil)...)
 		acts = append(acts, b.Timer(due, acts[0].Token, nil)...)
 		asked := false
 		for range 20 {
@@ -106,9 +106,9 @@
 // A repeat of a keyed request may leave only while the group still drops it; what
 // is no such repeat has the request's own time.
 func TestLatestOfARepeat(t *testing.T) {
-	set := Settings{MaxAttempts: 3, ColdShare: 1, Classes: []Class{
-		{Name: "keyed", Effect: Keyed, Group: GroupAll, Window: 200 * time.Millisecond, Deadline: 5 * time.Second, LateWorth: 1},
-		{Name: "free", Effect: Repeat, Window: 200 * time.Millisecond, Deadline: 5 * time.Second, LateWorth: 1},
+	set := Settings{MaxAttempts: 3, InitialCapacity: 1, Classes: []Class{
+		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: ScopeAll, DedupWindow: 200 * time.Millisecond, Deadline: 5 * time.Second, LatePriorityWeight: 1},
+		{Name: "free", Idempotency: Idempotent, DedupWindow: 200 * time.Millisecond, Deadline: 5 * time.Second, LatePriorityWeight: 1},
 	}}
 	for class, want := range map[string]time.Duration{"keyed": 200 * time.Millisecond, "free": 5 * time.Second} {
 		for _, status := range []Status{Reset, ConnectFailed} {
@@ -117,9 +117,9 @@
 				t.Fatal(err)
 			}
 			now := time.Hour
-			b.Members(now, ListFull, []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}, nil)
+			b.Endpoints(now, ListFull, []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}, nil)
 			acts := b.Request(now, Request{ID: "r", Class: class, Deadline: now + 5*time.Second}, nil)
-			if acts[0].Kind != Send || acts[0].Latest != 5*time.Second {
+			if acts[0].Kind != Send || acts[0].SendDeadline != 5*time.Second {
 				t.Fatalf("%s: first %+v", class, acts[0])
 			}
 			sent := now
@@ -133,7 +133,7 @@
 			if status == ConnectFailed {
 				until = 5 * time.Second // it has not run: this is no repeat
 			}
-			if acts[0].Kind != Send || now+acts[0].Latest != sent+until {
+			if acts[0].Kind != Send || now+acts[0].SendDeadline != sent+until {
 				t.Errorf("%s after status %d: %+v at %v, want its last byte by %v", class, status, acts[0], now-sent, until)
 			}
 		}
--- a/balance/tenant_test.go
+++ b/balance/tenant_test.go
@@ -11,10 +11,10 @@
 func TestTenantOverItsShareGoesFirst(t *testing.T) {
 	for _, scarceNow := range []bool{true, false} {
 		set := site()
-		set.OverShare = 0.05
+		set.OverQuotaWeight = 0.05
 		set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 		b, _ := New(set, 4)
-		b.Members(0, ListSaved, fleet(12), nil)
+		b.Endpoints(0, ListCached, fleet(12), nil)
 		refused, sent := map[string]int{}, map[string]int{}
 		now := time.Second
 		for n := range 1000 {
@@ -31,7 +31,7 @@
 			}
 			for _, a := range b.Request(now, Request{ID: id, Class: "record", Tenant: tenant, Deadline: now + time.Second}, nil) {
 				switch a.Kind {
-				case Refuse:
+				case Reject:
 					refused[tenant]++
 				case Send:
 					b.Outcome(now, Outcome{Request: id, Status: status, Took: ms, Final: status == OK}, nil)
--- a/balance/usual_test.go
+++ b/balance/usual_test.go
@@ -10,9 +10,9 @@
 // is put out; one that dies in the middle of it soon is.
 func TestUsualFailuresDoNotEject(t *testing.T) {
 	set := site()
-	set.CanCopy = false
+	set.CanHedge = false
 	b, _ := New(set, 3)
-	b.Members(time.Second, ListFull, fleet(6), nil)
+	b.Endpoints(time.Second, ListFull, fleet(6), nil)
 	now, dead, after, out := time.Minute, "", 0, 0
 	for i := range 8000 {
 		now += 3 * ms
@@ -27,7 +27,7 @@
 			status = Reset
 		}
 		b.Outcome(now+ms, Outcome{Request: id, Status: status, Took: ms, Final: status == OK}, nil)
-		b.Left(now+ms, id, nil)
+		b.Disconnected(now+ms, id, nil)
 		for _, s := range b.all {
 			if i > 1000 && s.until > now && s.ID != dead {
 				out++
--- a/internal/coapfront/front.go
+++ b/internal/coapfront/front.go
@@ -340,7 +340,7 @@
 	}
 	held := r.call.Body // until the answer stands, the front holds it, too
 	if !f.eng.Submit(&r.call, balance.Request{
-		ID: r.call.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Again: q.Again, Deadline: q.Deadline,
+		ID: r.call.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, IsRetry: q.Again, Deadline: q.Deadline,
 	}) {
 		held.Release()
 		f.finish(r, gate.Answer{Outcome: gate.Conflicting})
@@ -371,7 +371,7 @@
 // answerOf is a dispatcher's answer in the gate's words. It releases the response.
 func answerOf(a *dispatch.Result) gate.Answer {
 	switch a.Kind {
-	case balance.Refuse:
+	case balance.Reject:
 		return gate.Answer{Outcome: gate.Refused, Wait: a.RetryAfter}
 	case balance.Fail:
 		return gate.Answer{Outcome: gate.Failed}
@@ -384,7 +384,7 @@
 	return out
 }
 
-// Refuse turns away what is new; what is open gets its answer.
+// Reject turns away what is new; what is open gets its answer.
 func (f *Front) Refuse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -398,7 +398,7 @@
 	f.gate.Resume()
 }
 
-// Close ends it. Requests that have no answer yet get none.
+// CloseIdle ends it. Requests that have no answer yet get none.
 func (f *Front) Close() {
 	f.once.Do(func() {
 		close(f.ended)
--- a/internal/coapfront/front_test.go
+++ b/internal/coapfront/front_test.go
@@ -64,11 +64,11 @@
 func start(t *testing.T, up *upstream, change func(*Settings)) *Front {
 	t.Helper()
 	classes := []balance.Class{
-		{Name: "roster", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 3, Effect: balance.Repeat},
-		{Name: "start-rec", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 5, Effect: balance.Once},
+		{Name: "roster", LatencyObjective: 20 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 3, Idempotency: balance.Idempotent},
+		{Name: "start-rec", LatencyObjective: 20 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 5, Idempotency: balance.NonIdempotent},
 	}
 	eng, err := dispatch.New(dispatch.Settings{
-		Balance: balance.Settings{MaxAttempts: 3, Classes: classes, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond}, Seed: 1, DialTimeout: time.Second,
+		Balance: balance.Settings{MaxAttempts: 3, Classes: classes, InitialCapacity: 0.12, WarmUpTime: 23 * time.Second, WarmUpOverloadMultiple: 3, CallInterval: 2 * time.Millisecond}, Seed: 1, DialTimeout: time.Second,
 		OpenUpstream: func(string, int64) dispatch.Upstream { return up },
 	}, func() {})
 	if err != nil {
--- a/internal/coapfront/settings.go
+++ b/internal/coapfront/settings.go
@@ -42,10 +42,10 @@
 func FromOperator(o *operatorconfig.CoAP, all []balance.Class, deadlineTimes float64, seed uint64, bodies *dispatch.Budget) Settings {
 	key := make([]byte, 32)
 	rand.Read(key) // it never fails
-	effects := map[balance.Effect]gate.Effect{balance.Repeat: gate.Repeat, balance.Keyed: gate.Keyed, balance.Once: gate.Once}
+	effects := map[balance.Idempotency]gate.Effect{balance.Idempotent: gate.Repeat, balance.IdempotentWithKey: gate.Keyed, balance.NonIdempotent: gate.Once}
 	classes := map[string]gate.Class{}
 	for _, c := range all {
-		classes[c.Name] = gate.Class{Effect: effects[c.Effect], Deadline: c.Deadline}
+		classes[c.Name] = gate.Class{Effect: effects[c.Idempotency], Deadline: c.Deadline}
 	}
 	var trusted []netip.Prefix
 	for _, n := range o.TrustedNetworks {
--- a/internal/coapupstream/pool.go
+++ b/internal/coapupstream/pool.go
@@ -314,7 +314,7 @@
 		}
 		return balance.OK, r
 	case caller.TurnedAway:
-		return balance.Full, nil
+		return balance.AtCapacity, nil
 	case caller.NotThere:
 		return balance.ConnectFailed, nil
 	case caller.Erred:
--- a/internal/coapupstream/pool_test.go
+++ b/internal/coapupstream/pool_test.go
@@ -67,8 +67,8 @@
 func ask(t *testing.T, pool *Pool, deadline time.Duration, addrs ...string) balance.ActionKind {
 	t.Helper()
 	eng, err := dispatch.New(dispatch.Settings{
-		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond,
-			Classes: []balance.Class{{Name: "act", Aim: deadline, Deadline: deadline, Worth: 1, Effect: balance.Once}}},
+		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, InitialCapacity: 0.12, WarmUpTime: 23 * time.Second, WarmUpOverloadMultiple: 3, CallInterval: 2 * time.Millisecond,
+			Classes: []balance.Class{{Name: "act", LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, Idempotency: balance.NonIdempotent}}},
 		Seed: 1, DialTimeout: time.Second, OpenUpstream: pool.Open,
 	}, func() {})
 	if err != nil {
@@ -128,7 +128,7 @@
 		heard int64 // at most
 	}{
 		"good":            {good, balance.Send, 1},
-		"rejects all":     {reset, balance.Refuse, 4},
+		"rejects all":     {reset, balance.Reject, 4},
 		"silent":          {func(*message.Message) [][]byte { return nil }, balance.Fail, 1},
 		"noise":           {noise, balance.Fail, 1},
 		"noise, then one": {func(m *message.Message) [][]byte { return append(noise(m), answer(m, message.Changed)) }, balance.Send, 1},
@@ -153,14 +153,14 @@
 	}
 	t.Run("nobody there", func(t *testing.T) {
 		t.Parallel()
-		if got := ask(t, newPool(8), 2*time.Second, nobody); got != balance.Refuse {
+		if got := ask(t, newPool(8), 2*time.Second, nobody); got != balance.Reject {
 			t.Errorf("ended as %v, want a refusal", got)
 		}
 	})
 	t.Run("no socket left", func(t *testing.T) {
 		t.Parallel()
 		one, heard := server(t, good)
-		if got := ask(t, newPool(0), 2*time.Second, one); got != balance.Refuse || heard.Load() != 0 {
+		if got := ask(t, newPool(0), 2*time.Second, one); got != balance.Reject || heard.Load() != 0 {
 			t.Errorf("ended as %v with %d datagrams", got, heard.Load())
 		}
 	})
--- a/internal/lab/mutant/wrap.go
+++ b/internal/lab/mutant/wrap.go
@@ -25,15 +25,15 @@
 var WrappedAll = []Wrapped{
 	{Name: "unsafe-again", Breaks: "rule 2: a request that must not run twice is sent again", Storm: "reset-storm", Settings: func(s *balance.Settings) {
 		for i := range s.Classes {
-			if s.Classes[i].Effect == balance.Once {
-				s.Classes[i].Effect = balance.Repeat
+			if s.Classes[i].Idempotency == balance.NonIdempotent {
+				s.Classes[i].Idempotency = balance.Idempotent
 			}
 		}
 	}},
 	{Name: "cold-unguarded", Breaks: "rule 4: a cold server is held to be warm", Storm: "cold-return", Wrap: func(m virtual.Module) virtual.Module { return &warm{Module: m} }},
 	{Name: "no-own-end", Breaks: "rule 1: a request's own end never comes", Storm: "hang-and-drain", Wrap: func(m virtual.Module) virtual.Module { return &endless{Module: m} }, Settings: func(s *balance.Settings) {
 		for i := range s.Classes {
-			s.Classes[i].Aim = time.Hour
+			s.Classes[i].LatencyObjective = time.Hour
 		}
 	}},
 	{Name: "never-ran", Breaks: "rule 2: resets and errors count as proof that nothing ran", Storm: "reset-storm", Wrap: func(m virtual.Module) virtual.Module { return &neverRan{Module: m} }},
@@ -53,23 +53,23 @@
 // warm tells the module that every server started long ago.
 type warm struct{ virtual.Module }
 
-func (w *warm) Members(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
+func (w *warm) Endpoints(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
 	for i := range entries {
-		entries[i].Started = 0
+		entries[i].StartTime = 0
 	}
-	return w.Module.Members(now, kind, entries, acts)
+	return w.Module.Endpoints(now, kind, entries, acts)
 }
 
 // undrained tells the module that servers which drain are ready.
 type undrained struct{ virtual.Module }
 
-func (u *undrained) Members(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
+func (u *undrained) Endpoints(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
 	for i := range entries {
 		if entries[i].State == balance.Draining {
 			entries[i].State = balance.Ready
 		}
 	}
-	return u.Module.Members(now, kind, entries, acts)
+	return u.Module.Endpoints(now, kind, entries, acts)
 }
 
 // endless gives every request a deadline far behind its client's.
@@ -85,7 +85,7 @@
 
 func (n *neverRan) Outcome(now time.Duration, o balance.Outcome, acts []balance.Action) []balance.Action {
 	if o.Status == balance.Reset || o.Status == balance.Error {
-		o.Status = balance.Unwritten
+		o.Status = balance.PartialWrite
 	}
 	return n.Module.Outcome(now, o, acts)
 }
@@ -137,16 +137,16 @@
 	return u.take(now, u.m.Timer(now, token, nil), acts)
 }
 
-func (u *unbudgeted) Members(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
-	return u.take(now, u.m.Members(now, kind, entries, nil), acts)
+func (u *unbudgeted) Endpoints(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action {
+	return u.take(now, u.m.Endpoints(now, kind, entries, nil), acts)
 }
 
-func (u *unbudgeted) Left(now time.Duration, id string, acts []balance.Action) []balance.Action {
+func (u *unbudgeted) Disconnected(now time.Duration, id string, acts []balance.Action) []balance.Action {
 	a := u.first[id]
 	if a == nil {
 		return acts
 	}
-	acts = u.take(now, u.m.Left(now, a.id, nil), acts)
+	acts = u.take(now, u.m.Disconnected(now, a.id, nil), acts)
 	u.forget(a)
 	return acts
 }
@@ -176,8 +176,8 @@
 			a.sent = x.Number + 1
 		case balance.Cancel:
 			x.Number += a.base
-		case balance.Refuse, balance.Fail:
-			if a.sent > a.base && a.failed && a.tries < mostAgain && now+10*time.Millisecond < a.q.Deadline && (x.Kind == balance.Refuse) {
+		case balance.Reject, balance.Fail:
+			if a.sent > a.base && a.failed && a.tries < mostAgain && now+10*time.Millisecond < a.q.Deadline && (x.Kind == balance.Reject) {
 				acts = u.repeat(now, a, acts)
 				continue
 			}
--- a/internal/lab/virtual/attempt.go
+++ b/internal/lab/virtual/attempt.go
@@ -10,7 +10,7 @@
 // send starts an attempt.
 func (p *process) send(c *call, x *balance.Action) {
 	now := p.inst.w.loop.now
-	a := &attempt{p: p, call: c, host: p.hosts[x.Server], number: len(c.attempts), sent: now, until: now + x.Wait, latest: now + x.Latest}
+	a := &attempt{p: p, call: c, host: p.hosts[x.Server], number: len(c.attempts), sent: now, until: now + x.Wait, latest: now + x.SendDeadline}
 	c.useful = clockOrigin + a.until
 	c.attempts = append(c.attempts, a)
 	c.open++
@@ -168,7 +168,7 @@
 			if a.written {
 				p.end(a, balance.Reset)
 			} else {
-				p.end(a, balance.Unwritten)
+				p.end(a, balance.PartialWrite)
 			}
 		})
 	})
@@ -178,7 +178,7 @@
 // after it.
 func (a *attempt) answer(c *conn, status balance.Status, keep bool, after time.Duration) {
 	p, s := a.p, a.host.srv
-	if s.gone || s.life != c.life || s.ill.Hang && status != balance.Full || p.inst.cutOff(s, false) {
+	if s.gone || s.life != c.life || s.ill.Hang && status != balance.AtCapacity || p.inst.cutOff(s, false) {
 		return
 	}
 	p.inst.w.loop.in(p.inst.w.delay()+after, func() {
@@ -200,7 +200,7 @@
 func (a *attempt) arrive(c *conn, strike string, first time.Duration) {
 	s := a.host.srv
 	if c.over || strike == "refuse" {
-		a.answer(c, balance.Full, !c.fresh, 0)
+		a.answer(c, balance.AtCapacity, !c.fresh, 0)
 		return
 	}
 	// The first request on a connection pays for the handshake, which costs the
@@ -222,7 +222,7 @@
 	}
 	j := s.submit(a.call.id, k.a.Key, idem, &s.w.classes[k.a.Class], first, handshake)
 	if j == nil {
-		a.answer(c, balance.Full, handshake == 0, 0)
+		a.answer(c, balance.AtCapacity, handshake == 0, 0)
 		return
 	}
 	a.job, a.life = j, s.life
--- a/internal/lab/virtual/client.go
+++ b/internal/lab/virtual/client.go
@@ -54,7 +54,7 @@
 			k.again(clients.EndNone, k.class.Effect == audit.Repeat, pause)
 		}
 	})
-	q := balance.Request{ID: id, Class: k.class.Name, Tenant: k.tenant(), Key: k.a.Key, Deadline: now + wait, Again: k.tries > 1 && !w.storm.Load.Unmarked}
+	q := balance.Request{ID: id, Class: k.class.Name, Tenant: k.tenant(), Key: k.a.Key, Deadline: now + wait, IsRetry: k.tries > 1 && !w.storm.Load.Unmarked}
 	p.awake(func() { p.request(c, q) })
 }
 
@@ -77,7 +77,7 @@
 	case balance.Send:
 		w.log.Answered(c.id, audit.Served, true, w.loop.now)
 		k.over(clients.EndServed)
-	case balance.Refuse:
+	case balance.Reject:
 		w.log.Answered(c.id, audit.Refused, false, w.loop.now)
 		k.again(clients.EndRefused, true, advice)
 	default:
--- a/internal/lab/virtual/mass_test.go
+++ b/internal/lab/virtual/mass_test.go
@@ -266,7 +266,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rec, err := Play(context.Background(), plan, Options{Settings: func(b *balance.Settings) { b.ColdTime = 0 }})
+			rec, err := Play(context.Background(), plan, Options{Settings: func(b *balance.Settings) { b.WarmUpTime = 0 }})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/virtual/registry.go
+++ b/internal/lab/virtual/registry.go
@@ -169,7 +169,7 @@
 			e := &told[i]
 			r.w.log.Told(p.inst.name, p.epoch, e.srv.name, e.life, e.state != balance.Ready, r.w.loop.now)
 		}
-		kind := balance.ListChange
+		kind := balance.ListDelta
 		if since == 0 {
 			kind = balance.ListFull
 		}
--- a/internal/lab/virtual/sidecar.go
+++ b/internal/lab/virtual/sidecar.go
@@ -28,8 +28,8 @@
 	Request(now time.Duration, q balance.Request, acts []balance.Action) []balance.Action
 	Outcome(now time.Duration, o balance.Outcome, acts []balance.Action) []balance.Action
 	Timer(now time.Duration, token uint64, acts []balance.Action) []balance.Action
-	Members(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action
-	Left(now time.Duration, id string, acts []balance.Action) []balance.Action
+	Endpoints(now time.Duration, kind balance.ListKind, entries []balance.Server, acts []balance.Action) []balance.Action
+	Disconnected(now time.Duration, id string, acts []balance.Action) []balance.Action
 }
 
 // instance is one sidecar: a name that outlives its processes.
@@ -210,7 +210,7 @@
 		return
 	}
 	c.answered = true
-	p.tell(func(acts []balance.Action) []balance.Action { return p.mod.Left(p.clock(), c.id, acts) })
+	p.tell(func(acts []balance.Action) []balance.Action { return p.mod.Disconnected(p.clock(), c.id, acts) })
 	p.forget(c)
 }
 
@@ -220,7 +220,7 @@
 	switch x.Kind {
 	case balance.Send:
 		p.send(c, x)
-	case balance.Refuse, balance.Fail:
+	case balance.Reject, balance.Fail:
 		p.reply(c, x)
 	case balance.Cancel:
 		if c != nil && x.Number < len(c.attempts) {
@@ -242,7 +242,7 @@
 		})
 	case balance.Subscribe:
 		p.inst.w.reg.call(p, p.index)
-	case balance.Close:
+	case balance.CloseIdle:
 		if h := p.hosts[x.Server]; h != nil {
 			for len(h.idle) > 0 {
 				p.drop(h, 0)
@@ -282,7 +282,7 @@
 }
 
 func harmless(s balance.Status) bool {
-	return s == balance.Full || s == balance.ConnectFailed || s == balance.NeverSent || s == balance.Unwritten
+	return s == balance.AtCapacity || s == balance.ConnectFailed || s == balance.NeverSent || s == balance.PartialWrite
 }
 
 // expire ends the attempts whose time is up, before the module's own time.
@@ -398,14 +398,14 @@
 	for i := range told {
 		e := &told[i]
 		name := e.srv.name
-		if kind != balance.ListChange && e.state == balance.Gone {
+		if kind != balance.ListDelta && e.state == balance.Removed {
 			continue
 		}
 		started := time.Duration(0)
 		if e.started > 0 {
 			started = clockOrigin + e.started
 		}
-		servers = append(servers, balance.Server{ID: name, Zone: e.srv.zone, Cell: p.inst.w.storm.PodOf(e.srv.n), Started: started, State: e.state})
+		servers = append(servers, balance.Server{ID: name, Zone: e.srv.zone, Cell: p.inst.w.storm.PodOf(e.srv.n), StartTime: started, State: e.state})
 		named[name] = true
 		h := p.hosts[name]
 		if h != nil && (h.life != e.life || h.place != e.place || e.state != balance.Ready) {
@@ -413,11 +413,11 @@
 			delete(p.hosts, name)
 			h = nil
 		}
-		if h == nil && e.state != balance.Gone {
+		if h == nil && e.state != balance.Removed {
 			p.hosts[name] = &host{srv: e.srv, life: e.life, place: e.place}
 		}
 	}
-	if kind != balance.ListChange {
+	if kind != balance.ListDelta {
 		for _, s := range p.inst.w.servers {
 			if h := p.hosts[s.name]; h != nil && !named[s.name] {
 				p.retire(h)
@@ -425,7 +425,7 @@
 			}
 		}
 	}
-	p.tell(func(acts []balance.Action) []balance.Action { return p.mod.Members(p.clock(), kind, servers, acts) })
+	p.tell(func(acts []balance.Action) []balance.Action { return p.mod.Endpoints(p.clock(), kind, servers, acts) })
 }
 
 func (p *process) listFailed() {
@@ -434,7 +434,7 @@
 	}
 	p.awake(func() {
 		p.tell(func(acts []balance.Action) []balance.Action {
-			return p.mod.Members(p.clock(), balance.ListFailed, nil, acts)
+			return p.mod.Endpoints(p.clock(), balance.ListFailed, nil, acts)
 		})
 	})
 }
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/virtual/world.go
@@ -153,21 +153,21 @@
 func (w *world) settings() balance.Settings {
 	c, s := &w.storm.World.Sidecar, &w.storm.World.Server
 	set := balance.Settings{
-		WarmKeys: true, Subscribe: true, MaxAttempts: c.Attempts, CanCancel: true, CanCopy: true, RetryAfter: c.Advice, Round: 2 * time.Millisecond, IdleFor: s.Idle * 9 / 10,
-		ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: s.TipAt,
+		KeyAffinity: true, Subscribe: true, MaxAttempts: c.Attempts, CanCancel: true, CanHedge: true, RetryAfter: c.Advice, CallInterval: 2 * time.Millisecond, IdleTimeout: s.Idle * 9 / 10,
+		InitialCapacity: 0.12, WarmUpTime: 23 * time.Second, WarmUpOverloadMultiple: s.TipAt,
 	}
-	effects := map[audit.Effect]balance.Effect{audit.Repeat: balance.Repeat, audit.Keyed: balance.Keyed, audit.Once: balance.Once}
+	effects := map[audit.Effect]balance.Idempotency{audit.Repeat: balance.Idempotent, audit.Keyed: balance.IdempotentWithKey, audit.Once: balance.NonIdempotent}
 	for _, k := range w.asked {
-		b := balance.Class{Name: k.Name, Aim: k.Aim, Deadline: k.Deadline, Worth: k.Worth, Effect: effects[k.Effect]}
+		b := balance.Class{Name: k.Name, LatencyObjective: k.Aim, Deadline: k.Deadline, PriorityWeight: k.Worth, Idempotency: effects[k.Effect]}
 		if k.Effect == audit.Keyed {
-			b.Group, b.Window = balance.GroupCell, s.Window
+			b.DedupScope, b.DedupWindow = balance.ScopeCell, s.Window
 		}
 		set.Classes = append(set.Classes, b)
 	}
 	for _, t := range w.storm.Load.Tenants {
 		set.Tenants = append(set.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	set.OverShare = c.OverShare
+	set.OverQuotaWeight = c.OverShare
 	if w.opt.Settings != nil {
 		w.opt.Settings(&set)
 	}
@@ -185,7 +185,7 @@
 		p.mod = w.opt.Wrap(bal)
 	}
 	in.procs = append(in.procs, p)
-	p.members(balance.ListSaved, known, index)
+	p.members(balance.ListCached, known, index)
 	return p, nil
 }
 
@@ -257,7 +257,7 @@
 	case experiment.Vanish:
 		v.gone, v.silent = true, v.life
 	case experiment.Crash, experiment.Remove:
-		w.reg.set(v, balance.Gone)
+		w.reg.set(v, balance.Removed)
 		w.crash(v)
 	case experiment.Up:
 		if v.there {
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -41,7 +41,7 @@
 	pool := httpupstream.New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 400)
 	eng, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{
-			MaxAttempts: 3, ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3, WarmKeys: warmKeys,
+			MaxAttempts: 3, InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3, KeyAffinity: warmKeys,
 			Classes: []balance.Class{{Name: "read", Deadline: time.Second}},
 		},
 		DialTimeout: time.Second, OpenUpstream: pool.Open,
@@ -89,11 +89,11 @@
 				}
 				eng := capacityDispatcher(b, warmKeys)
 				eng.UpdateEndpoints(balance.ListFull, list, 0)
-				states := []balance.ServerState{balance.Draining, balance.Gone, balance.Ready}
+				states := []balance.ServerState{balance.Draining, balance.Removed, balance.Ready}
 				cost.Loop(b, func(i int) {
 					entry := list.Endpoints[i/len(states)%servers]
 					entry.State, entry.StartedMillis = states[i%len(states)], int64(i)
-					eng.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: int64(i + 2), Endpoints: []dispatch.Endpoint{entry}}, 0)
+					eng.UpdateEndpoints(balance.ListDelta, dispatch.EndpointList{Version: int64(i + 2), Endpoints: []dispatch.Endpoint{entry}}, 0)
 				})
 			})
 		}
--- a/internal/sidecar/discovery/proxy.go
+++ b/internal/sidecar/discovery/proxy.go
@@ -130,7 +130,7 @@
 		if err != nil {
 			return answered, false, err
 		}
-		kind := balance.ListChange
+		kind := balance.ListDelta
 		if list.Snapshot {
 			kind = balance.ListFull
 		}
--- a/internal/sidecar/discovery/watcher.go
+++ b/internal/sidecar/discovery/watcher.go
@@ -241,7 +241,7 @@
 		if err != nil {
 			return answered, err
 		}
-		kind := balance.ListChange
+		kind := balance.ListDelta
 		if list.Snapshot {
 			kind = balance.ListFull
 		} else if list.Version < w.version {
--- a/internal/sidecar/discovery/wire.go
+++ b/internal/sidecar/discovery/wire.go
@@ -33,8 +33,8 @@
 )
 
 var (
-	stateOfStatus = map[string]balance.ServerState{"active": balance.Ready, "leaving": balance.Draining, "left": balance.Gone}
-	statusOfState = map[balance.ServerState]string{balance.Ready: "active", balance.Draining: "leaving", balance.Gone: "left"}
+	stateOfStatus = map[string]balance.ServerState{"active": balance.Ready, "leaving": balance.Draining, "left": balance.Removed}
+	statusOfState = map[balance.ServerState]string{balance.Ready: "active", balance.Draining: "leaving", balance.Removed: "left"}
 )
 
 // Parse reads an endpoint list in discovery's form. See ParseValue.
@@ -89,7 +89,7 @@
 		return endpoint, fmt.Errorf("%s: unknown %q", keyStatus, value.GetStringBytes(keyStatus))
 	}
 	endpoint.State = state
-	if _, err := netip.ParseAddrPort(withoutScheme(endpoint.Address, schemes)); err != nil && state != balance.Gone {
+	if _, err := netip.ParseAddrPort(withoutScheme(endpoint.Address, schemes)); err != nil && state != balance.Removed {
 		return endpoint, fmt.Errorf("%s: expected an IP address and port, found %q", keyAddress, endpoint.Address)
 	}
 	if value.Exists(keyStartedMillis) {
--- a/internal/sidecar/dispatch/attempt.go
+++ b/internal/sidecar/dispatch/attempt.go
@@ -71,7 +71,7 @@
 	now := d.now()
 	attempt := &Attempt{
 		dispatcher: d, Request: request, number: len(request.attempts), index: len(d.attempts),
-		startedAt: now, deadline: now + action.Wait, sendDeadline: now + action.Latest,
+		startedAt: now, deadline: now + action.Wait, sendDeadline: now + action.SendDeadline,
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
--- a/internal/sidecar/dispatch/dispatch.go
+++ b/internal/sidecar/dispatch/dispatch.go
@@ -114,12 +114,12 @@
 }
 
 // Reconfigure replaces the settings for requests that are submitted from now on: the
-// tenants, and of each class Aim, Worth and LateWorth. All else about the classes has
+// tenants, and of each class Aim, Worth and LatePriorityWeight. All else about the classes has
 // to be as in Settings. After an error the previous settings stay in force.
 func (d *Dispatcher) Reconfigure(classes []balance.Class, tenants []balance.Tenant) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.balancer.Change(classes, tenants); err != nil {
+	if err := d.balancer.Reconfigure(classes, tenants); err != nil {
 		return err
 	}
 	d.setClasses(classes)
@@ -175,7 +175,7 @@
 	switch action.Kind {
 	case balance.Send:
 		d.startAttempt(request, action)
-	case balance.Refuse, balance.Fail:
+	case balance.Reject, balance.Fail:
 		d.answer(request, Result{Kind: action.Kind, RetryAfter: action.Wait})
 	case balance.Cancel:
 		if request != nil && action.Number < len(request.attempts) {
@@ -189,7 +189,7 @@
 		d.timer.Reset(action.Wait)
 	case balance.Subscribe:
 		d.requestList()
-	case balance.Close:
+	case balance.CloseIdle:
 		if server := d.servers[action.Server]; server != nil {
 			go server.upstream.CloseIdle()
 		}
--- a/internal/sidecar/dispatch/dispatch_test.go
+++ b/internal/sidecar/dispatch/dispatch_test.go
@@ -52,7 +52,7 @@
 // just now, once, and do not stay ahead with every list.
 func TestStartTimesAheadOfTheWallClock(t *testing.T) {
 	dispatcher, err := New(Settings{
-		Balance:      balance.Settings{MaxAttempts: 1, ColdShare: 0.1, ColdTime: 20 * time.Second, TipMultiple: 3, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
+		Balance:      balance.Settings{MaxAttempts: 1, InitialCapacity: 0.1, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
 		OpenUpstream: func(string, int64) Upstream { return idleUpstream{} },
 	}, func() {})
 	if err != nil {
--- a/internal/sidecar/dispatch/endpoints.go
+++ b/internal/sidecar/dispatch/endpoints.go
@@ -41,10 +41,10 @@
 		d.storeEndpoints(list)
 	}
 	servers, dropped := d.replaceServers(list.Endpoints)
-	if kind == balance.ListFull || kind == balance.ListSaved {
+	if kind == balance.ListFull || kind == balance.ListCached {
 		dropped = d.dropUnlisted(list.Endpoints, dropped)
 	}
-	d.perform(d.balancer.Members(d.now(), kind, servers, d.actions[:0]))
+	d.perform(d.balancer.Endpoints(d.now(), kind, servers, d.actions[:0]))
 	d.abandonUnattached(dropped)
 	onUpdate := d.onUpdate
 	d.mu.Unlock()
@@ -74,13 +74,13 @@
 			}
 			known = nil
 		}
-		if known == nil && endpoint.State != balance.Gone {
+		if known == nil && endpoint.State != balance.Removed {
 			d.servers[endpoint.ID] = &server{
 				address: endpoint.Address, startedMillis: endpoint.StartedMillis, startTime: d.toBalancerClock(endpoint.StartedMillis),
 				upstream: d.settings.OpenUpstream(endpoint.Address, endpoint.StartedMillis),
 			}
 		}
-		servers[i].Started = d.startTime(endpoint)
+		servers[i].StartTime = d.startTime(endpoint)
 	}
 	return servers, dropped
 }
@@ -121,8 +121,8 @@
 }
 
 var (
-	drainStates  = map[balance.ServerState]drain.State{balance.Ready: drain.Active, balance.Draining: drain.Draining, balance.Gone: drain.Left}
-	serverStates = map[drain.State]balance.ServerState{drain.Active: balance.Ready, drain.Draining: balance.Draining, drain.Left: balance.Gone}
+	drainStates  = map[balance.ServerState]drain.State{balance.Ready: drain.Active, balance.Draining: drain.Draining, balance.Removed: drain.Left}
+	serverStates = map[drain.State]balance.ServerState{drain.Active: balance.Ready, drain.Draining: balance.Draining, drain.Left: balance.Removed}
 )
 
 // applyDrains corrects the states of endpoints that are older than a drain which was
@@ -152,7 +152,7 @@
 		clear(d.endpoints)
 	}
 	for _, endpoint := range list.Endpoints {
-		if endpoint.State == balance.Gone {
+		if endpoint.State == balance.Removed {
 			delete(d.endpoints, endpoint.ID)
 		} else {
 			d.endpoints[endpoint.ID] = endpoint
--- a/internal/sidecar/dispatch/reconfigure_test.go
+++ b/internal/sidecar/dispatch/reconfigure_test.go
@@ -10,8 +10,8 @@
 // New settings are seen by readers of a class, are used as a whole or not at all, and
 // are safe beside these readers.
 func TestReconfigureIsSeenByProxies(t *testing.T) {
-	classes := []balance.Class{{Name: "read", Aim: time.Second, Deadline: time.Second}, {Name: "act", Aim: time.Second, Deadline: time.Second}}
-	dispatcher, err := New(Settings{Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: classes}}, func() {})
+	classes := []balance.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}, {Name: "act", LatencyObjective: time.Second, Deadline: time.Second}}
+	dispatcher, err := New(Settings{Balance: balance.Settings{MaxAttempts: 1, InitialCapacity: 1, Classes: classes}}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,12 +19,12 @@
 	seen := make(chan struct{})
 	go func() {
 		defer close(seen)
-		for dispatcher.Class("read").Aim != 2*time.Second {
+		for dispatcher.Class("read").LatencyObjective != 2*time.Second {
 			time.Sleep(time.Microsecond)
 		}
 	}()
 	changed := []balance.Class{classes[0], classes[1]}
-	changed[0].Aim = 2 * time.Second
+	changed[0].LatencyObjective = 2 * time.Second
 	if err := dispatcher.Reconfigure(changed, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -33,14 +33,14 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("class read: found no change, wanted a latency objective of 2s")
 	}
-	if earlier.Aim != time.Second {
-		t.Errorf("class read as it was returned before: found a latency objective of %v, wanted 1s", earlier.Aim)
+	if earlier.LatencyObjective != time.Second {
+		t.Errorf("class read as it was returned before: found a latency objective of %v, wanted 1s", earlier.LatencyObjective)
 	}
-	changed[0].Aim, changed[1].Deadline = 3*time.Second, time.Hour
+	changed[0].LatencyObjective, changed[1].Deadline = 3*time.Second, time.Hour
 	if err := dispatcher.Reconfigure(changed, nil); err == nil {
 		t.Error("a changed deadline: found no error")
 	}
-	if read, act := dispatcher.Class("read"), dispatcher.Class("act"); read.Aim != 2*time.Second || act.Deadline != time.Second {
-		t.Errorf("after an error: found a latency objective of %v and a deadline of %v, wanted 2s and 1s", read.Aim, act.Deadline)
+	if read, act := dispatcher.Class("read"), dispatcher.Class("act"); read.LatencyObjective != 2*time.Second || act.Deadline != time.Second {
+		t.Errorf("after an error: found a latency objective of %v and a deadline of %v, wanted 2s and 1s", read.LatencyObjective, act.Deadline)
 	}
 }
--- a/internal/sidecar/dispatch/request.go
+++ b/internal/sidecar/dispatch/request.go
@@ -70,7 +70,7 @@
 	defer d.mu.Unlock()
 	if !request.answered {
 		request.answered = true
-		d.perform(d.balancer.Left(d.now(), request.ID, d.actions[:0]))
+		d.perform(d.balancer.Disconnected(d.now(), request.ID, d.actions[:0]))
 		d.abandonUnwritten(request)
 		d.perform(d.actions[:0])
 		d.removeIfFinished(request)
@@ -88,7 +88,7 @@
 			pending++
 		}
 	}
-	d.perform(d.balancer.Timer(d.now(), balance.Over, d.actions[:0]))
+	d.perform(d.balancer.Timer(d.now(), balance.Shutdown, d.actions[:0]))
 	return pending
 }
 
--- a/internal/sidecar/dispatch/trace_test.go
+++ b/internal/sidecar/dispatch/trace_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	var opened, retired []string
 	dispatcher, err := New(Settings{
-		Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
+		Balance: balance.Settings{MaxAttempts: 1, InitialCapacity: 1, Classes: []balance.Class{{Name: "read", Deadline: time.Second}}},
 		OpenUpstream: func(addr string, since int64) Upstream {
 			name := fmt.Sprintf("%s/%d", addr, since)
 			opened = append(opened, name)
@@ -76,7 +76,7 @@
 		}
 		version += int64(rng.IntN(3))
 		list := EndpointList{Version: version, Snapshot: rng.IntN(3) == 0}
-		kind := balance.ListChange
+		kind := balance.ListDelta
 		if list.Snapshot {
 			kind = balance.ListFull
 		}
@@ -85,7 +85,7 @@
 		}
 		for i := range rng.IntN(5) {
 			list.Endpoints = append(list.Endpoints, Endpoint{
-				Server:  balance.Server{ID: fmt.Sprint("s", (i*2+rng.IntN(2))%7), State: []balance.ServerState{balance.Ready, balance.Ready, balance.Draining, balance.Gone}[rng.IntN(4)]},
+				Server:  balance.Server{ID: fmt.Sprint("s", (i*2+rng.IntN(2))%7), State: []balance.ServerState{balance.Ready, balance.Ready, balance.Draining, balance.Removed}[rng.IntN(4)]},
 				Address: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2)), StartedMillis: int64(rng.IntN(3)),
 			})
 		}
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -54,22 +54,22 @@
 		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Address, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.StartedMillis))
 	}
 	s := &c.Settings
-	line("settings.over-share-worth", s.OverShare)
-	line("settings.extra.warm-keys", s.WarmKeys)
+	line("settings.over-share-worth", s.OverQuotaWeight)
+	line("settings.extra.warm-keys", s.KeyAffinity)
 	line("settings.discovery is subscribe", s.Subscribe)
-	line("settings.round-us", s.Round)
-	line("settings.limits.conn-idle-us", fmt.Sprint(s.IdleFor, " ", c.Connections.Idle))
+	line("settings.round-us", s.CallInterval)
+	line("settings.limits.conn-idle-us", fmt.Sprint(s.IdleTimeout, " ", c.Connections.Idle))
 	line("settings.limits.dial-timeout-us", c.Connections.Dial)
 	line("settings.limits.try-limit", s.MaxAttempts)
 	line("settings.limits.cancel", s.CanCancel)
-	line("settings.limits.second-copies", s.CanCopy)
+	line("settings.limits.second-copies", s.CanHedge)
 	line("settings.limits.retry-after", s.RetryAfter)
-	line("settings.rules.cold-from", s.ColdShare)
-	line("settings.rules.cold-us", s.ColdTime)
-	line("settings.rules.tip-multiple", s.TipMultiple)
+	line("settings.rules.cold-from", s.InitialCapacity)
+	line("settings.rules.cold-us", s.WarmUpTime)
+	line("settings.rules.tip-multiple", s.WarmUpOverloadMultiple)
 	for _, class := range s.Classes {
-		line("settings.classes", fmt.Sprint(class.Name, " ", class.Aim, " ", class.AimStretch, " ", class.Deadline, " ", class.Worth, " ", class.LateWorth,
-			" ", int(class.Effect), " ", int(class.Group), " ", class.Window))
+		line("settings.classes", fmt.Sprint(class.Name, " ", class.LatencyObjective, " ", class.ObjectivePerWork, " ", class.Deadline, " ", class.PriorityWeight, " ", class.LatePriorityWeight,
+			" ", int(class.Idempotency), " ", int(class.DedupScope), " ", class.DedupWindow))
 	}
 	for _, tenant := range s.Tenants {
 		line("settings.tenants", fmt.Sprint(tenant.Name, " ", tenant.Quota))
--- a/internal/sidecar/httpserver/forms_test.go
+++ b/internal/sidecar/httpserver/forms_test.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dispatcher, err := dispatch.New(dispatch.Settings{Balance: balance.Settings{MaxAttempts: 1, ColdShare: 1, Classes: []balance.Class{
-		{Name: "read", Deadline: time.Second, Effect: balance.Repeat}, {Name: "put", Deadline: time.Second, Effect: balance.Keyed, Window: time.Second}, {Name: "act", Deadline: time.Second, Effect: balance.Once},
+	dispatcher, err := dispatch.New(dispatch.Settings{Balance: balance.Settings{MaxAttempts: 1, InitialCapacity: 1, Classes: []balance.Class{
+		{Name: "read", Deadline: time.Second, Idempotency: balance.Idempotent}, {Name: "put", Deadline: time.Second, Idempotency: balance.IdempotentWithKey, DedupWindow: time.Second}, {Name: "act", Deadline: time.Second, Idempotency: balance.NonIdempotent},
 	}}}, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 			continue
 		}
 		fmt.Fprintf(&text, "%.60q: id %s class %s tenant %s key %s deadline %v work %v retry %t\n",
-			raw, request.ID, request.Class, request.Tenant, request.Key, request.Deadline, request.Work, request.Again)
+			raw, request.ID, request.Class, request.Tenant, request.Key, request.Deadline, request.Work, request.IsRetry)
 		text.Write(requestHead(&head, 7, head.IsGet()))
 	}
 	compareWithFile(t, "requests.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
@@ -144,8 +144,8 @@
 	result("an upstream's over HTTP", dispatch.Result{Kind: balance.Send, Response: (*httpupstream.Response)(upstreamResponse)})
 	result("an upstream's over another protocol", dispatch.Result{Kind: balance.Send, Response: neutralResponse{"hi", "text/x"}})
 	result("without a type", dispatch.Result{Kind: balance.Send, Response: neutralResponse{"hi", ""}})
-	result("shed", dispatch.Result{Kind: balance.Refuse})
-	result("shed with advice", dispatch.Result{Kind: balance.Refuse, RetryAfter: 1234567 * time.Microsecond})
+	result("shed", dispatch.Result{Kind: balance.Reject})
+	result("shed with advice", dispatch.Result{Kind: balance.Reject, RetryAfter: 1234567 * time.Microsecond})
 	result("failed", dispatch.Result{Kind: balance.Fail})
 	for _, err := range []error{dispatch.ErrBudgetExhausted, dispatch.ErrBodyTooLarge, fmt.Errorf("read: %w", os.ErrDeadlineExceeded), errors.New("broken chunk")} {
 		write("a body with "+err.Error(), func(ctx *fasthttp.RequestCtx) { rejectBody(ctx, err) })
--- a/internal/sidecar/httpserver/handler.go
+++ b/internal/sidecar/httpserver/handler.go
@@ -139,7 +139,7 @@
 // respond writes the response for a result.
 func respond(ctx *fasthttp.RequestCtx, result *dispatch.Result) {
 	switch result.Kind {
-	case balance.Refuse:
+	case balance.Reject:
 		reject(ctx, fasthttp.StatusServiceUnavailable, "refused")
 		if result.RetryAfter > 0 {
 			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(result.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/sidecar/httpserver/validate.go
+++ b/internal/sidecar/httpserver/validate.go
@@ -41,7 +41,7 @@
 	request := balance.Request{
 		ID: string(header.Peek("X-Request-Id")), Class: string(classOf(header.RequestURI())),
 		Tenant: string(header.Peek("X-Tenant")), Key: string(header.Peek("X-Key")),
-		Work: parseCostHint(header.Peek("X-Cost-Hint")), Again: string(header.Peek("X-Retry")) == "1",
+		Work: parseCostHint(header.Peek("X-Cost-Hint")), IsRetry: string(header.Peek("X-Retry")) == "1",
 	}
 	class := s.dispatcher.Class(request.Class)
 	switch {
@@ -75,13 +75,13 @@
 
 // validateMethod checks the method and what depends on it against the class.
 func validateMethod(header *fasthttp.RequestHeader, class *balance.Class) *invalidRequest {
-	get := class.Effect == balance.Repeat
+	get := class.Idempotency == balance.Idempotent
 	switch {
 	case get && !header.IsGet() || !get && !header.IsPost():
 		return &invalidRequest{fasthttp.StatusMethodNotAllowed, "not the method of the class"}
 	case get && (header.ContentLength() > 0 || header.ContentLength() == -1):
 		return badRequest("a GET has no body")
-	case class.Effect == balance.Keyed && len(header.Peek("Idempotency-Key")) == 0:
+	case class.Idempotency == balance.IdempotentWithKey && len(header.Peek("Idempotency-Key")) == 0:
 		// Its retries would be executed again.
 		return badRequest("Idempotency-Key: missing")
 	case header.ContentLength() > dispatch.MaxBodySize:
--- a/internal/sidecar/httpupstream/attempt.go
+++ b/internal/sidecar/httpupstream/attempt.go
@@ -139,7 +139,7 @@
 func (a *attempt) receive(connection *conn, written bool) {
 	pool := a.upstream.pool
 	if !written {
-		if a.Finish(balance.Unwritten, nil) {
+		if a.Finish(balance.PartialWrite, nil) {
 			pool.recordUse(connection.idleTime, true)
 		}
 		pool.abandon(connection)
@@ -165,7 +165,7 @@
 	}
 	// A server at its limit of connections rejects every request on a further one: a
 	// connection whose first request was rejected is of no use.
-	rejected := status == balance.Full && connection.idleTime == 0
+	rejected := status == balance.AtCapacity && connection.idleTime == 0
 	switch {
 	case clean && accepted && !rejected:
 		_ = connection.SetReadDeadline(time.Time{}) // fails only on a closed connection, which isQuiet finds
--- a/internal/sidecar/httpupstream/response.go
+++ b/internal/sidecar/httpupstream/response.go
@@ -52,7 +52,7 @@
 		return balance.OK
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusGatewayTimeout:
 		if string(response.Header.Peek(notRunHeader)) == "1" {
-			return balance.Full
+			return balance.AtCapacity
 		}
 	}
 	return balance.Error
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -154,7 +154,7 @@
 // wantObjective waits until a class has an aim.
 func wantObjective(t *testing.T, s *Sidecar, class string, aim time.Duration) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("a latency objective of %v for %s", aim, class), func() bool { return s.dispatcher.Class(class).Aim == aim })
+	eventually(t, fmt.Sprintf("a latency objective of %v for %s", aim, class), func() bool { return s.dispatcher.Class(class).LatencyObjective == aim })
 }
 
 func upHeader(t *testing.T, s *Sidecar) http.Header {
@@ -289,7 +289,7 @@
 	if poll := relay.last(); poll.Rejected[0] != wanted || poll.Version != bad {
 		t.Errorf("poll: found version %v and %+v, wanted %v and %+v", poll.Version, poll.Rejected[0], bad, wanted)
 	}
-	if read, act := s.dispatcher.Class("read").Aim, s.dispatcher.Class("act").Aim; read != 5*time.Second || act != 6*time.Second {
+	if read, act := s.dispatcher.Class("read").LatencyObjective, s.dispatcher.Class("act").LatencyObjective; read != 5*time.Second || act != 6*time.Second {
 		t.Errorf("in force: found aims of %v and %v, wanted the last good 5s, and 6s of the other service", read, act)
 	}
 	wantServed(t, s)
@@ -320,7 +320,7 @@
 		age, err := time.ParseDuration(h.Get("X-Configuration-Age") + "s")
 		return err == nil && age > 300*time.Millisecond && h.Get("X-Configuration") == version.String()
 	})
-	if aim := s.dispatcher.Class("read").Aim; aim != 5*time.Second {
+	if aim := s.dispatcher.Class("read").LatencyObjective; aim != 5*time.Second {
 		t.Errorf("after the relay's end: found a latency objective of %v, wanted the last one received, 5s", aim)
 	}
 	wantServed(t, s)
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -63,7 +63,7 @@
 	one := startUpstream(t, func(c net.Conn, _ *http.Request, _ int64) bool { return reset(c) })
 	late := startLate(t, good)
 	s := startWith(t, []string{`"window-us":4000000`, `"window-us":600000`}, one.addr())
-	s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
+	s.dispatcher.UpdateEndpoints(balance.ListDelta, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		{Server: balance.Server{ID: "late", Zone: "a", Cell: 1}, Address: late.addr()}}}, 0)
 	// Which of the two is tried first is chance: the late one alone proves nothing.
 	for began := time.Now(); one.seen.Load() == 0; {
@@ -105,7 +105,7 @@
 	entry := func(addr string, state balance.ServerState) dispatch.Endpoint {
 		return dispatch.Endpoint{Server: balance.Server{ID: "s-" + addr, Zone: "a", Cell: 1, State: state}, Address: addr}
 	}
-	s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
+	s.dispatcher.UpdateEndpoints(balance.ListDelta, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{
 		entry(late.addr(), balance.Draining), entry(other.addr(), balance.Ready)}}, 0)
 	late.accept()
 	if r, body := clientAnswer(t, c); r == nil || r.StatusCode != http.StatusOK || body != id {
@@ -309,7 +309,7 @@
 		drainWith(t, s, func() {
 			eventually(t, "the request", func() bool { calls, _, _ := s.dispatcher.Counts(); return calls == 1 })
 		}, func() {
-			s.dispatcher.UpdateEndpoints(balance.ListChange, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Address: up.addr()}}}, 0)
+			s.dispatcher.UpdateEndpoints(balance.ListDelta, dispatch.EndpointList{Version: 10, Endpoints: []dispatch.Endpoint{{Server: balance.Server{ID: "s", Zone: "a", Cell: 1}, Address: up.addr()}}}, 0)
 		})
 	})
 }
--- a/internal/sidecar/overlay.go
+++ b/internal/sidecar/overlay.go
@@ -157,8 +157,8 @@
 func (l *layers) checkFeasible(change *configuration.Class) error {
 	class := l.settings.Classes[l.classIndex(change.Name)]
 	applyClass(&class, change)
-	if class.LateWorth <= 0 && class.Aim <= l.settings.Round {
-		return fmt.Errorf("found an aim of %v and nothing for late answers, wanted more than %v", class.Aim, l.settings.Round)
+	if class.LatePriorityWeight <= 0 && class.LatencyObjective <= l.settings.CallInterval {
+		return fmt.Errorf("found an aim of %v and nothing for late answers, wanted more than %v", class.LatencyObjective, l.settings.CallInterval)
 	}
 	return nil
 }
@@ -171,13 +171,13 @@
 // applyClass sets the fields of a class that a change names.
 func applyClass(class *balance.Class, change *configuration.Class) {
 	if change.LatencyObjectiveMicroseconds != nil {
-		class.Aim = time.Duration(*change.LatencyObjectiveMicroseconds) * time.Microsecond
+		class.LatencyObjective = time.Duration(*change.LatencyObjectiveMicroseconds) * time.Microsecond
 	}
 	if change.PriorityWeight != nil {
-		class.Worth = *change.PriorityWeight
+		class.PriorityWeight = *change.PriorityWeight
 	}
 	if change.LatePriorityWeight != nil {
-		class.LateWorth = *change.LatePriorityWeight
+		class.LatePriorityWeight = *change.LatePriorityWeight
 	}
 }
 
--- a/internal/sidecar/overlay_test.go
+++ b/internal/sidecar/overlay_test.go
@@ -18,11 +18,11 @@
 // fileSettings are the settings of a sidecar's own file in these tests.
 func fileSettings() balance.Settings {
 	return balance.Settings{
-		MaxAttempts: 3, ColdShare: 0.2, Round: 2 * time.Millisecond,
+		MaxAttempts: 3, InitialCapacity: 0.2, CallInterval: 2 * time.Millisecond,
 		Classes: []balance.Class{
-			{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.5, Effect: balance.Repeat, Group: balance.GroupAll},
-			{Name: "put", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: balance.Keyed, Group: balance.GroupCell, Window: time.Second},
-			{Name: "act", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 3, LateWorth: 0.1},
+			{Name: "read", LatencyObjective: 100 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LatePriorityWeight: 0.5, Idempotency: balance.Idempotent, DedupScope: balance.ScopeAll},
+			{Name: "put", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 2, Idempotency: balance.IdempotentWithKey, DedupScope: balance.ScopeCell, DedupWindow: time.Second},
+			{Name: "act", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 3, LatePriorityWeight: 0.1},
 		},
 		Tenants: []balance.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 20}},
 	}
@@ -37,7 +37,7 @@
 func wording(s balance.Settings) string {
 	var parts []string
 	for _, c := range s.Classes {
-		parts = append(parts, fmt.Sprintf("%s %d %g %g", c.Name, c.Aim.Milliseconds(), c.Worth, c.LateWorth))
+		parts = append(parts, fmt.Sprintf("%s %d %g %g", c.Name, c.LatencyObjective.Milliseconds(), c.PriorityWeight, c.LatePriorityWeight))
 	}
 	for _, t := range s.Tenants {
 		parts = append(parts, fmt.Sprintf("%s=%g", t.Name, t.Quota))
@@ -172,7 +172,7 @@
 		return err
 	}
 	r.settings.Classes, r.settings.Tenants = classes, tenants
-	return bal.Change(classes, tenants)
+	return bal.Reconfigure(classes, tenants)
 }
 
 func checkStep(t *rapid.T, live *liveSettings, before []serviceState, rejected []configuration.Rejection, inForce balance.Settings) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -150,7 +150,7 @@
 	if s.coapServer != nil {
 		go s.coapServer.Serve()
 	}
-	s.dispatcher.UpdateEndpoints(balance.ListSaved, s.config.KnownEndpoints, 0)
+	s.dispatcher.UpdateEndpoints(balance.ListCached, s.config.KnownEndpoints, 0)
 	if options.Paused {
 		s.httpServer.Pause()
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,8 +11,8 @@
 // The wire's words for the library's kinds; a word not listed gives a value
 // that balance.New refuses.
 var (
-	effects = map[string]balance.Effect{"free": balance.Repeat, "guarded": balance.Keyed, "single_shot": balance.Once}
-	groups  = map[string]balance.Group{"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
+	effects = map[string]balance.Idempotency{"free": balance.Idempotent, "guarded": balance.IdempotentWithKey, "single_shot": balance.NonIdempotent}
+	groups  = map[string]balance.DedupScope{"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 )
 
 // word looks a word up; one not known gives -1.
@@ -30,26 +30,26 @@
 	}
 	limits, rules := v.Get("limits"), v.Get("rules")
 	s := balance.Settings{
-		OverShare:   v.GetFloat64("over-share-worth"),
-		WarmKeys:    v.GetBool("extra", "warm-keys"),
-		Subscribe:   string(v.GetStringBytes("discovery")) == "subscribe",
-		Round:       micros(v, "round-us"),
-		IdleFor:     micros(limits, "conn-idle-us") * 9 / 10,
-		MaxAttempts: limits.GetInt("try-limit"),
-		CanCancel:   limits.GetBool("cancel"),
-		CanCopy:     limits.GetBool("second-copies"),
-		ColdShare:   rules.GetFloat64("cold-from"),
-		ColdTime:    time.Duration(rules.GetInt64("cold-us")) * time.Microsecond,
-		TipMultiple: rules.GetFloat64("tip-multiple"),
+		OverQuotaWeight:        v.GetFloat64("over-share-worth"),
+		KeyAffinity:            v.GetBool("extra", "warm-keys"),
+		Subscribe:              string(v.GetStringBytes("discovery")) == "subscribe",
+		CallInterval:           micros(v, "round-us"),
+		IdleTimeout:            micros(limits, "conn-idle-us") * 9 / 10,
+		MaxAttempts:            limits.GetInt("try-limit"),
+		CanCancel:              limits.GetBool("cancel"),
+		CanHedge:               limits.GetBool("second-copies"),
+		InitialCapacity:        rules.GetFloat64("cold-from"),
+		WarmUpTime:             time.Duration(rules.GetInt64("cold-us")) * time.Microsecond,
+		WarmUpOverloadMultiple: rules.GetFloat64("tip-multiple"),
 	}
 	if limits.GetBool("retry-after") {
 		s.RetryAfter = time.Duration(limits.GetInt64("max-retry-after-us")) * time.Microsecond
 	}
 	for _, c := range v.GetArray("classes") {
 		s.Classes = append(s.Classes, balance.Class{
-			Name: text(c, "name"), Aim: micros(c, "aim-us"), AimStretch: c.GetFloat64("aim-stretch"),
-			Deadline: micros(c, "deadline-us"), Worth: c.GetFloat64("worth"), LateWorth: c.GetFloat64("late-worth"),
-			Effect: word(effects, c, "effect"), Group: word(groups, c, "group"), Window: micros(c, "window-us"),
+			Name: text(c, "name"), LatencyObjective: micros(c, "aim-us"), ObjectivePerWork: c.GetFloat64("aim-stretch"),
+			Deadline: micros(c, "deadline-us"), PriorityWeight: c.GetFloat64("worth"), LatePriorityWeight: c.GetFloat64("late-worth"),
+			Idempotency: word(effects, c, "effect"), DedupScope: word(groups, c, "group"), DedupWindow: micros(c, "window-us"),
 		})
 	}
 	for _, t := range v.GetArray("tenants") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -141,7 +141,7 @@
 	case "ask":
 		return b.Request(h.now, balance.Request{
 			ID: text(v, "op-id"), Class: text(v, "profile"), Tenant: text(v, "billing"), Key: text(v, "subject"),
-			Deadline: micros(v, "valid-until-us"), Work: micros(v, "effort-us"), Again: v.GetBool("repeat"),
+			Deadline: micros(v, "valid-until-us"), Work: micros(v, "effort-us"), IsRetry: v.GetBool("repeat"),
 		}, acts), nil
 	case "timer":
 		return b.Timer(h.now, v.GetUint64("token"), acts), nil
@@ -154,7 +154,7 @@
 	case "started":
 		return b.Started(h.now, text(v, "op-id"), v.GetInt("round-no"), acts), nil
 	case "lapsed":
-		return b.Left(h.now, text(v, "op-id"), acts), nil
+		return b.Disconnected(h.now, text(v, "op-id"), acts), nil
 	case "peers-known":
 		return h.members(b, v, acts)
 	case "check-result":
@@ -166,8 +166,8 @@
 	return acts, fmt.Errorf("unknown op %q", op)
 }
 
-var listKinds = map[string]balance.ListKind{"FULL": balance.ListFull, "SAVED": balance.ListSaved,
-	"INCREMENTAL": balance.ListChange, "FAILED": balance.ListFailed}
+var listKinds = map[string]balance.ListKind{"FULL": balance.ListFull, "SAVED": balance.ListCached,
+	"INCREMENTAL": balance.ListDelta, "FAILED": balance.ListFailed}
 
 // members hands a list to its instance.
 func (h *host) members(b *balance.Balancer, v *fastjson.Value, acts []balance.Action) ([]balance.Action, error) {
@@ -182,10 +182,10 @@
 	if kind == balance.ListFailed {
 		table = nil
 	}
-	return b.Members(h.now, kind, table, acts), nil
+	return b.Endpoints(h.now, kind, table, acts), nil
 }
 
-var statuses = map[string]balance.Status{"OK": balance.OK, "INTERNAL": balance.Error, "RESOURCE_EXHAUSTED": balance.Full,
+var statuses = map[string]balance.Status{"OK": balance.OK, "INTERNAL": balance.Error, "RESOURCE_EXHAUSTED": balance.AtCapacity,
 	"DEADLINE_EXCEEDED": balance.Timeout, "UNAVAILABLE": balance.ConnectFailed, "ABORTED": balance.Reset,
 	"CANCELLED": balance.Cancelled, "TOO_LATE": balance.NeverSent}
 
@@ -198,7 +198,7 @@
 	return s, nil
 }
 
-var states = map[string]balance.ServerState{"on": balance.Ready, "fading": balance.Draining, "off": balance.Gone}
+var states = map[string]balance.ServerState{"on": balance.Ready, "fading": balance.Draining, "off": balance.Removed}
 
 // servers reads the entries of a list.
 func servers(hosts []*fastjson.Value) []balance.Server {
@@ -209,7 +209,7 @@
 			state = balance.Draining
 		}
 		list = append(list, balance.Server{ID: text(e, "upstream"), Zone: text(e, "failure-domain"), Cell: e.GetInt("cell"),
-			Started: micros(e, "came-up-us"), State: state})
+			StartTime: micros(e, "came-up-us"), State: state})
 	}
 	return list
 }
@@ -243,7 +243,7 @@
 		str("op-id", a.Request)
 		str("upstream", a.Server)
 		num("limit-us", up)
-	case balance.Refuse:
+	case balance.Reject:
 		op("reject")
 		str("op-id", a.Request)
 		if up > 0 {
@@ -260,7 +260,7 @@
 		op("notify-me")
 		num("wait-us", up)
 		num("token", int64(a.Token))
-	case balance.Close:
+	case balance.CloseIdle:
 		op("let-go")
 		str("upstream", a.Server)
 	case balance.Subscribe:
