--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -19,28 +19,28 @@
 		{"percent is a strict bound", 100, int(budgetPercent), false},
 	}
 	for _, tc := range tests {
-		var b budget
+		var b retryBudget
 		for range tc.firsts {
-			b.first(time.Second)
+			b.recordFirst(time.Second)
 		}
 		for range tc.retries {
-			b.spend(time.Second)
+			b.recordRetry(time.Second)
 		}
-		if got := b.allows(time.Second); got != tc.want {
+		if got := b.allowsRetry(time.Second); got != tc.want {
 			t.Errorf("%s: allows = %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
 func TestBudgetWindowSlides(t *testing.T) {
-	var b budget
+	var b retryBudget
 	for range int(budgetFloor) {
-		b.spend(time.Second)
+		b.recordRetry(time.Second)
 	}
-	if b.allows(time.Second + budgetWindow - 1) {
+	if b.allowsRetry(time.Second + budgetWindow - 1) {
 		t.Error("a retry just inside the window must still count")
 	}
-	if !b.allows(time.Second + budgetWindow) {
+	if !b.allowsRetry(time.Second + budgetWindow) {
 		t.Error("a retry a whole window old must no longer count")
 	}
 }
@@ -49,9 +49,9 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[time.Duration]bool{}
 	for n := range 5 {
-		mean := pauseBase << n
+		mean := backoffBase << n
 		for range 100 {
-			p := pause(rng, n)
+			p := backoff(rng, n)
 			if p < mean/2 || p > mean*3/2 {
 				t.Fatalf("pause(%d) = %v, outside %v +- half", n, p, mean)
 			}
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -14,13 +14,13 @@
 // capacityBalancer returns a balancer that holds a list of a size.
 func capacityBalancer(b *testing.B, servers int, warmKeys bool) (*Balancer, []Server) {
 	b.Helper()
-	settings := site()
+	settings := testSettings()
 	settings.KeyAffinity = warmKeys
 	balancer, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := fleet(servers)
+	list := testServers(servers)
 	balancer.Endpoints(time.Second, ListFull, list, nil)
 	return balancer, list
 }
@@ -63,13 +63,13 @@
 	for _, warmKeys := range []bool{false, true} {
 		for _, servers := range capacitySizes {
 			b.Run(fmt.Sprintf("keys=%t/servers=%d", warmKeys, servers), func(b *testing.B) {
-				list := fleet(servers)
+				list := testServers(servers)
 				cost.Held(b, servers, "B/server", func() any {
-					held, err := New(site(), 1)
+					held, err := New(testSettings(), 1)
 					if err != nil {
 						b.Fatal(err)
 					}
-					held.set.KeyAffinity = warmKeys
+					held.settings.KeyAffinity = warmKeys
 					held.Endpoints(time.Second, ListFull, list, nil)
 					return held
 				})
--- a/balance/change_test.go
+++ b/balance/change_test.go
@@ -28,14 +28,14 @@
 }
 
 func TestChangeHoldsForRequestsThatBeginAfterIt(t *testing.T) {
-	set := site()
+	set := testSettings()
 	name := set.Classes[0].Name
 	set.Classes = changed(set, name, 200*ms)
 	b, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints(0, ListCached, fleet(6), nil)
+	b.Endpoints(0, ListCached, testServers(6), nil)
 	now := time.Second
 	ask := func(id string) time.Duration {
 		return latest(t, b.Request(now, Request{ID: id, Class: name, Deadline: now + 5*time.Second}, nil))
@@ -54,14 +54,14 @@
 		t.Errorf("the request that had begun: found an aim of %v, wanted that it began with, %v", old.LatencyObjective, 200*ms)
 	}
 	// It is still ended by that aim.
-	b.Timer(now+200*ms, uint64(b.armed), nil)
+	b.Timer(now+200*ms, uint64(b.armedFor), nil)
 	if b.requests["before"] != nil && !b.requests["before"].answered {
 		t.Error("the request that had begun: found it open after its aim, wanted its final answer")
 	}
 }
 
 func TestChangeRefusesWhatWantsAStart(t *testing.T) {
-	set := site()
+	set := testSettings()
 	for name, change := range map[string]func([]Class) []Class{
 		"none":            func([]Class) []Class { return nil },
 		"one less":        func(c []Class) []Class { return c[1:] },
@@ -79,18 +79,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := slices.Clone(b.set.Classes)
+		before := slices.Clone(b.settings.Classes)
 		if err := b.Reconfigure(change(slices.Clone(set.Classes)), []Tenant{{"a", 1}, {"b", 2}}); err == nil {
 			t.Errorf("%s: taken, wanted an error", name)
 		}
-		if !reflect.DeepEqual(b.set.Classes, before) || len(b.tenantAt) != 0 {
-			t.Errorf("%s: found classes %v and tenants %v after the refusal, wanted them as they were", name, b.set.Classes, b.tenantAt)
+		if !reflect.DeepEqual(b.settings.Classes, before) || len(b.tenantIndex) != 0 {
+			t.Errorf("%s: found classes %v and tenants %v after the refusal, wanted them as they were", name, b.settings.Classes, b.tenantIndex)
 		}
 	}
 }
 
 func TestChangeOfWorthsAndTenants(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.OverQuotaWeight = 0.05
 	set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 	b, err := New(set, 1)
@@ -98,9 +98,9 @@
 		t.Fatal(err)
 	}
 	for range 100 {
-		b.overShare(&request{Request: Request{Tenant: "small"}})
+		b.quotaExcess(&request{Request: Request{Tenant: "small"}})
 	}
-	seen := slices.Clone(b.tenantRate)
+	seen := slices.Clone(b.tenantShares)
 	classes := slices.Clone(set.Classes)
 	for i := range classes {
 		classes[i].PriorityWeight = 7
@@ -108,11 +108,11 @@
 	if err := b.Reconfigure(classes, set.Tenants); err != nil {
 		t.Fatal(err)
 	}
-	if wanted := 7 * float64(len(classes)); b.worthSum != wanted {
-		t.Errorf("sum of the worths: found %v, wanted %v", b.worthSum, wanted)
+	if wanted := 7 * float64(len(classes)); b.weightSum != wanted {
+		t.Errorf("sum of the worths: found %v, wanted %v", b.weightSum, wanted)
 	}
-	if !slices.Equal(b.tenantRate, seen) {
-		t.Errorf("observed shares: found %v after a change of worths alone, wanted %v", b.tenantRate, seen)
+	if !slices.Equal(b.tenantShares, seen) {
+		t.Errorf("observed shares: found %v after a change of worths alone, wanted %v", b.tenantShares, seen)
 	}
 	other := []Tenant{{"none", 0}, {"new", 300}, {"small", 100}}
 	if err := b.Reconfigure(classes, other); err != nil {
@@ -124,11 +124,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(b.tenantAt, wanted.tenantAt) || !slices.Equal(b.tenantRate, wanted.tenantRate) || b.quotaSum != wanted.quotaSum {
-		t.Errorf("tenants: found %v, %v, sum %v, wanted those of a start: %v, %v, sum %v", b.tenantAt, b.tenantRate, b.quotaSum, wanted.tenantAt, wanted.tenantRate, wanted.quotaSum)
+	if !reflect.DeepEqual(b.tenantIndex, wanted.tenantIndex) || !slices.Equal(b.tenantShares, wanted.tenantShares) || b.quotaSum != wanted.quotaSum {
+		t.Errorf("tenants: found %v, %v, sum %v, wanted those of a start: %v, %v, sum %v", b.tenantIndex, b.tenantShares, b.quotaSum, wanted.tenantIndex, wanted.tenantShares, wanted.quotaSum)
 	}
 	other[1].Quota = 1 // the caller's slice is not kept
-	if b.set.Tenants[1].Quota != 300 {
+	if b.settings.Tenants[1].Quota != 300 {
 		t.Error("tenants: found them to follow the caller's slice, wanted a copy")
 	}
 }
--- a/balance/churn_test.go
+++ b/balance/churn_test.go
@@ -9,10 +9,10 @@
 // What is kept of servers that have gone must go with them, however many come
 // and go and whether or not one of them ever refuses a connection.
 func TestGoneServersAreForgotten(t *testing.T) {
-	b, _ := New(site(), 3)
+	b, _ := New(testSettings(), 3)
 	now := time.Minute
 	for round := range 200 {
-		list := fleet(8)
+		list := testServers(8)
 		for i := range list {
 			list[i].ID = fmt.Sprintf("r%d-%s", round, list[i].ID)
 		}
@@ -25,13 +25,13 @@
 			b.Disconnected(now, id, nil)
 		}
 	}
-	if n := len(b.byID); n != 8 {
+	if n := len(b.serversByID); n != 8 {
 		t.Fatalf("%d servers known", n)
 	}
-	if len(b.ejections) > 8 || len(b.ready) > 8 || len(b.all) > 8 {
-		t.Errorf("kept of 8 servers: %d ejections, %d ready, %d in all", len(b.ejections), len(b.ready), len(b.all))
+	if len(b.ejected) > 8 || len(b.ready) > 8 || len(b.servers) > 8 {
+		t.Errorf("kept of 8 servers: %d ejections, %d ready, %d in all", len(b.ejected), len(b.ready), len(b.servers))
 	}
-	if now += time.Hour; len(b.Timer(now, 0, nil)) >= 0 && (len(b.requests) > 0 || len(b.wakes) > 1) {
-		t.Errorf("%d requests and %d wakes kept", len(b.requests), len(b.wakes))
+	if now += time.Hour; len(b.Timer(now, 0, nil)) >= 0 && (len(b.requests) > 0 || len(b.timers) > 1) {
+		t.Errorf("%d requests and %d wakes kept", len(b.requests), len(b.timers))
 	}
 }
--- /dev/null
+++ b/balance/connections.go
@@ -0,0 +1,35 @@
+package balance
+
+import "time"
+
+// takeConnection takes an idle connection to a server, or tells that a new one is
+// needed.
+func (b *Balancer) takeConnection(s *server, now time.Duration) (isNew bool) {
+	if isNew = !b.hasIdleConnection(s, now); isNew {
+		s.idleSince = nil // all have expired
+	} else {
+		s.idleSince = s.idleSince[:len(s.idleSince)-1]
+	}
+	return isNew
+}
+
+// hasIdleConnection tells whether an idle connection to a server can be used.
+func (b *Balancer) hasIdleConnection(s *server, now time.Duration) bool {
+	return len(s.idleSince) > 0 && now-s.idleSince[len(s.idleSince)-1] < b.settings.IdleTimeout
+}
+
+// closeLongestIdle closes the idle connections to the server that was used longest
+// ago. Servers limit their connections, and idle ones keep other clients out: each
+// connection refused here is answered by closing some.
+func (b *Balancer) closeLongestIdle(now time.Duration) {
+	var oldest *server
+	for _, s := range b.servers {
+		if n := len(s.idleSince); b.hasIdleConnection(s, now) && (oldest == nil || s.idleSince[n-1] < oldest.idleSince[len(oldest.idleSince)-1]) {
+			oldest = s
+		}
+	}
+	if oldest != nil {
+		oldest.idleSince = nil
+		b.emit(Action{Kind: CloseIdle, Server: oldest.ID})
+	}
+}
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -9,10 +9,10 @@
 // A connection refused is answered by letting go of the idle connections that
 // were unused for longest, never of one in use (i927b8b).
 func TestRefusedConnectionLetsAnUnusedOneGo(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge, set.IdleTimeout = false, 4*time.Second
 	b, _ := New(set, 8)
-	b.Endpoints(time.Second, ListFull, fleet(12), nil)
+	b.Endpoints(time.Second, ListFull, testServers(12), nil)
 	now := time.Minute
 	send := func(id string) string {
 		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms}, nil))
--- a/balance/depth_test.go
+++ b/balance/depth_test.go
@@ -76,7 +76,7 @@
 
 func newCallChain(t testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
 	c := &callChain{fails: fails, way: way, calls: map[string]*chainCall{}}
-	settings := site()
+	settings := testSettings()
 	settings.CanHedge = false
 	settings.Classes = []Class{{Name: "read", LatencyObjective: chainDeadline, Deadline: chainDeadline, PriorityWeight: 1, Idempotency: Idempotent}}
 	for hop := range depth {
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		c.hops = append(c.hops, b)
-		c.take(hop, b.Endpoints(0, ListFull, fleet(chainServers), nil))
+		c.take(hop, b.Endpoints(0, ListFull, testServers(chainServers), nil))
 	}
 	return c
 }
@@ -95,7 +95,7 @@
 	heap.Push(&c.events, chainEvent{at, c.serial, do})
 }
 
-// run plays until a time.
+// failures plays until a time.
 func (c *callChain) run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		event := heap.Pop(&c.events).(chainEvent)
@@ -147,7 +147,7 @@
 	}
 }
 
-// end answers a call, for the hop above.
+// answer answers a call, for the hop above.
 func (c *callChain) end(id string, status Status) {
 	call := c.calls[id]
 	if call == nil {
--- a/balance/full_test.go
+++ b/balance/full_test.go
@@ -9,10 +9,10 @@
 // A server that turns all away answers fast and never has anything in flight:
 // it must not draw the traffic from one that is at work.
 func TestServerThatTurnsAllAwayIsOut(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 5)
-	list := fleet(2)
+	list := testServers(2)
 	b.Endpoints(time.Second, ListFull, list, nil)
 	now := time.Minute
 	busy, bad := list[0].ID, 0
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -10,10 +10,10 @@
 // trial request goes there, and a success brings it back. At most half of the
 // list is ejected at one time.
 func TestEjectionAndSingleTrial(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 9)
-	b.Endpoints(time.Second, ListFull, fleet(4), nil)
+	b.Endpoints(time.Second, ListFull, testServers(4), nil)
 	now, n := time.Minute, 0
 	send := func() (id, to string) {
 		n++
@@ -34,7 +34,7 @@
 		}
 		end(id, OK)
 	}
-	now = b.byID[bad].until + 20*time.Second // its bad figure has faded
+	now = b.serversByID[bad].ejectedUntil + 20*time.Second // its bad figure has faded
 	trials := 0
 	var open string
 	for range 300 {
@@ -50,16 +50,16 @@
 		t.Fatalf("%d trial requests out together, want 1", trials)
 	}
 	end(open, OK)
-	if s := b.byID[bad]; s.health != (health{}) {
-		t.Errorf("a trial that went well left %v", s.health)
+	if s := b.serversByID[bad]; s.ejectionState != (ejectionState{}) {
+		t.Errorf("a trial that went well left %v", s.ejectionState)
 	}
 	for range 40 {
 		id, _ := send()
 		end(id, ConnectFailed)
 	}
 	out := 0
-	for _, s := range b.all {
-		if s.until > now {
+	for _, s := range b.servers {
+		if s.ejectedUntil > now {
 			out++
 		}
 	}
--- a/balance/lifecycle_test.go
+++ b/balance/lifecycle_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// site returns settings like those of a mesh with one class of each effect.
-func site() Settings {
+// testSettings returns settings like those of a mesh with one class of each effect.
+func testSettings() Settings {
 	return Settings{
 		MaxAttempts: 3, CanCancel: true, CanHedge: true, CallInterval: 2 * ms,
 		InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3,
@@ -24,8 +24,8 @@
 	}
 }
 
-// fleet returns n ready servers in cells of three.
-func fleet(n int) []Server {
+// testServers returns n ready servers in cells of three.
+func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: fmt.Sprintf("s%d", i), Cell: i / 3, Zone: fmt.Sprint("z", i/6)}
@@ -43,21 +43,21 @@
 	return ""
 }
 
-// bed drives a Balancer and its timers, and checks the rules on each action.
-type bed struct {
-	t       testing.TB
-	b       *Balancer
-	now     time.Duration
-	timers  map[time.Duration]bool
-	log     []string
-	reqs    map[string]*seen
-	servers map[string]Server
-	drained map[string]time.Duration
-	broken  []string
+// harness drives a Balancer and its timers, and checks the rules on each action.
+type harness struct {
+	t          testing.TB
+	b          *Balancer
+	now        time.Duration
+	timers     map[time.Duration]bool
+	log        []string
+	reqs       map[string]*observedRequest
+	servers    map[string]Server
+	drained    map[string]time.Duration
+	violations []string
 }
 
-// seen is the checker's own record of a request.
-type seen struct {
+// observedRequest is the checker's own record of a request.
+type observedRequest struct {
 	class    Class
 	deadline time.Duration
 	sends    []Action
@@ -66,20 +66,20 @@
 	answered bool
 }
 
-func newBed(t testing.TB, set Settings, seed uint64) *bed {
+func newHarness(t testing.TB, set Settings, seed uint64) *harness {
 	b, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &bed{t: t, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*seen{},
+	return &harness{t: t, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*observedRequest{},
 		servers: map[string]Server{}, drained: map[string]time.Duration{}}
 }
 
-func (d *bed) breaks(format string, args ...any) {
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
+func (d *harness) violate(format string, args ...any) {
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-func (d *bed) members(kind ListKind, list []Server) []Action {
+func (d *harness) members(kind ListKind, list []Server) []Action {
 	for _, s := range list {
 		if s.State == Ready {
 			delete(d.drained, s.ID)
@@ -91,13 +91,13 @@
 	return d.take(d.b.Endpoints(d.now, kind, list, nil))
 }
 
-func (d *bed) request(id string, class int) []Action {
-	c := d.b.set.Classes[class]
-	d.reqs[id] = &seen{class: c, deadline: d.now + c.Deadline}
+func (d *harness) request(id string, class int) []Action {
+	c := d.b.settings.Classes[class]
+	d.reqs[id] = &observedRequest{class: c, deadline: d.now + c.Deadline}
 	return d.take(d.b.Request(d.now, Request{ID: id, Class: c.Name, Key: "k" + id, Deadline: d.now + c.Deadline}, nil))
 }
 
-func (d *bed) outcome(id string, number int, status Status) []Action {
+func (d *harness) outcome(id string, number int, status Status) []Action {
 	q := d.reqs[id]
 	q.status[number] = status
 	final := status == OK || q.answered
@@ -109,7 +109,7 @@
 }
 
 // take checks actions and books them.
-func (d *bed) take(acts []Action) []Action {
+func (d *harness) take(acts []Action) []Action {
 	for _, a := range acts {
 		d.log = append(d.log, fmt.Sprint(d.now, a))
 		switch a.Kind {
@@ -120,54 +120,54 @@
 		case Reject, Fail:
 			q := d.reqs[a.Request]
 			if q.answered {
-				d.breaks("rule 1: %s answered twice", a.Request)
+				d.violate("rule 1: %s answered twice", a.Request)
 			}
 			q.answered = true
 			if a.Kind == Reject && q.class.Idempotency != Idempotent && d.anchor(q) >= 0 &&
 				!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) {
-				d.breaks("rule 2: %s refused though it may have run", a.Request)
+				d.violate("rule 2: %s refused though it may have run", a.Request)
 			}
 		}
 	}
 	return acts
 }
 
-// anchor is the first attempt that may have run, -1 for none.
-func (d *bed) anchor(q *seen) int {
+// maybeExecuted is the first attempt that may have run, -1 for none.
+func (d *harness) anchor(q *observedRequest) int {
 	for i, s := range q.status {
-		if s < 0 || !s.harmless() {
+		if s < 0 || !s.provablyNotExecuted() {
 			return i
 		}
 	}
 	return -1
 }
 
-func (d *bed) checkSend(a Action) {
+func (d *harness) checkSend(a Action) {
 	q := d.reqs[a.Request]
 	if q.answered {
-		d.breaks("rule 1: %s sent after its answer", a.Request)
+		d.violate("rule 1: %s sent after its answer", a.Request)
 	}
 	if first := d.anchor(q); first >= 0 {
 		switch q.class.Idempotency {
 		case NonIdempotent:
-			d.breaks("rule 2: %s sent again", a.Request)
+			d.violate("rule 2: %s sent again", a.Request)
 		case IdempotentWithKey:
 			if d.now >= q.at[first]+q.class.DedupWindow || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
-				d.breaks("rule 2: %s sent outside its group", a.Request)
+				d.violate("rule 2: %s sent outside its group", a.Request)
 			}
 		}
 	}
 	if since, ok := d.drained[a.Server]; ok && d.now > since {
-		d.breaks("rule 3: %s sent to drained %s", a.Request, a.Server)
+		d.violate("rule 3: %s sent to drained %s", a.Request, a.Server)
 	}
-	if len(q.sends) >= d.b.set.MaxAttempts {
-		d.breaks("%s over its attempt limit", a.Request)
+	if len(q.sends) >= d.b.settings.MaxAttempts {
+		d.violate("%s over its attempt limit", a.Request)
 	}
 	q.sends, q.status, q.at = append(q.sends, a), append(q.status, -1), append(q.at, d.now)
 }
 
 // step moves the clock and fires what is due.
-func (d *bed) step(by time.Duration) {
+func (d *harness) step(by time.Duration) {
 	d.now += by
 	for due := d.nextDue(); due > 0; due = d.nextDue() {
 		delete(d.timers, due)
@@ -175,13 +175,13 @@
 	}
 	for id, q := range d.reqs {
 		if !q.answered && d.now > q.deadline+by {
-			d.breaks("rule 1: %s not answered in time", id)
+			d.violate("rule 1: %s not answered in time", id)
 			q.answered = true
 		}
 	}
 }
 
-func (d *bed) nextDue() time.Duration {
+func (d *harness) nextDue() time.Duration {
 	least := time.Duration(0)
 	for at := range d.timers {
 		if at <= d.now && (least == 0 || at < least) {
@@ -192,10 +192,10 @@
 }
 
 // play runs a random but legal day and returns its bed.
-func play(t testing.TB, seed uint64, ticks int) *bed {
-	d := newBed(t, site(), seed)
+func play(t testing.TB, seed uint64, ticks int) *harness {
+	d := newHarness(t, testSettings(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
-	d.members(ListCached, fleet(12))
+	d.members(ListCached, testServers(12))
 	var open []string
 	for tick := range ticks {
 		d.step(2 * ms)
@@ -231,7 +231,7 @@
 func TestRandomDaysKeepTheRules(t *testing.T) {
 	for seed := range uint64(8) {
 		d := play(t, seed+1, 6000)
-		for _, what := range d.broken {
+		for _, what := range d.violations {
 			t.Errorf("seed %d: %s", seed+1, what)
 		}
 		retried := 0
@@ -247,13 +247,13 @@
 }
 
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
-	d := newBed(t, site(), 1)
-	d.members(ListCached, fleet(12))
+	d := newHarness(t, testSettings(), 1)
+	d.members(ListCached, testServers(12))
 	d.request("a", 2)
 	d.take([]Action{{Kind: Send, Request: "a", Server: "s1"}, {Kind: Reject, Request: "a"}, {Kind: Fail, Request: "a"},
 		{Kind: Send, Request: "a", Server: "s2"}})
-	if len(d.broken) < 4 {
-		t.Errorf("planted breaches found: %q", d.broken)
+	if len(d.violations) < 4 {
+		t.Errorf("planted breaches found: %q", d.violations)
 	}
 }
 
@@ -276,8 +276,8 @@
 		{2, Timeout, false, Fail}, {2, Reset, false, Fail}, {2, Error, false, Fail}, {2, Cancelled, false, Fail},
 	}
 	for _, tc := range tests {
-		d := newBed(t, site(), 3)
-		d.members(ListCached, fleet(12))
+		d := newHarness(t, testSettings(), 3)
+		d.members(ListCached, testServers(12))
 		d.request("a", tc.class)
 		d.step(10 * ms)
 		acts := d.outcome("a", 0, tc.status)
@@ -299,8 +299,8 @@
 
 // A request of a class not announced must be treated as the most careful kind.
 func TestUnknownClassRunsOnce(t *testing.T) {
-	b, _ := New(site(), 1)
-	b.Endpoints(0, ListCached, fleet(3), nil)
+	b, _ := New(testSettings(), 1)
+	b.Endpoints(0, ListCached, testServers(3), nil)
 	b.Request(0, Request{ID: "x", Class: "?", Deadline: time.Second}, nil)
 	acts := b.Outcome(ms, Outcome{Request: "x", Status: Timeout, Took: ms}, nil)
 	if len(acts) == 0 || acts[0].Kind != Fail {
@@ -310,17 +310,17 @@
 
 // A drain is obeyed by a retry that already waits in its pause.
 func TestPausedRetryObeysDrain(t *testing.T) {
-	d := newBed(t, site(), 1)
-	d.members(ListCached, fleet(2))
+	d := newHarness(t, testSettings(), 1)
+	d.members(ListCached, testServers(2))
 	d.request("a", 0)
 	d.step(2 * ms)
 	d.outcome("a", 0, AtCapacity)
-	list := fleet(2)
+	list := testServers(2)
 	list[0].State, list[1].State = Draining, Draining
 	d.members(ListDelta, list)
 	d.step(500 * ms)
-	if len(d.broken) > 0 || len(d.reqs["a"].sends) != 1 || !d.reqs["a"].answered {
-		t.Errorf("broken %q, sends %v, answered %v", d.broken, d.reqs["a"].sends, d.reqs["a"].answered)
+	if len(d.violations) > 0 || len(d.reqs["a"].sends) != 1 || !d.reqs["a"].answered {
+		t.Errorf("broken %q, sends %v, answered %v", d.violations, d.reqs["a"].sends, d.reqs["a"].answered)
 	}
 }
 
@@ -329,8 +329,8 @@
 	const balancers, servers, rounds = 200, 20, 40
 	sent, total := 0, 0
 	for i := range uint64(balancers) {
-		b, _ := New(site(), i+1)
-		list := fleet(servers)
+		b, _ := New(testSettings(), i+1)
+		list := testServers(servers)
 		now := time.Minute
 		list[7].StartTime = now
 		b.Endpoints(now, ListCached, list, nil)
@@ -349,7 +349,7 @@
 		}
 	}
 	even := float64(total) / servers
-	most := site().WarmUpOverloadMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
+	most := testSettings().WarmUpOverloadMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
 	if float64(sent) > most*0.6 || sent == 0 {
 		t.Errorf("cold server got %d of %d attempts, want some but at most %.0f", sent, total, most*0.6)
 	}
@@ -359,8 +359,8 @@
 // i0a7fe6); where servers turn work away instead, nothing is refused early.
 func TestShedsOnLateAnswersOnly(t *testing.T) {
 	for _, status := range []Status{OK, AtCapacity} {
-		d := newBed(t, site(), 2)
-		d.members(ListCached, fleet(12))
+		d := newHarness(t, testSettings(), 2)
+		d.members(ListCached, testServers(12))
 		early := 0
 		for n := range 200 {
 			id := fmt.Sprint(n)
@@ -397,7 +397,7 @@
 		"DedupWindow":     func(s *Settings) { s.Classes[0].DedupWindow = -1 },
 	}
 	for field, spoil := range tests {
-		s := site()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s spoilt: error %v", field, err)
@@ -406,7 +406,7 @@
 }
 
 func TestStrayEventsAreIgnored(t *testing.T) {
-	b, _ := New(site(), 1)
+	b, _ := New(testSettings(), 1)
 	acts := b.Outcome(0, Outcome{Request: "?", Number: -3}, nil)
 	acts = b.Timer(0, 99, acts)
 	acts = b.Disconnected(0, "?", acts)
@@ -418,8 +418,8 @@
 }
 
 func BenchmarkDecision(bm *testing.B) {
-	b, _ := New(site(), 1)
-	b.Endpoints(0, ListCached, fleet(400), nil)
+	b, _ := New(testSettings(), 1)
+	b.Endpoints(0, ListCached, testServers(400), nil)
 	now := time.Second
 	var acts []Action
 	for i := 0; bm.Loop(); i++ {
@@ -453,10 +453,10 @@
 // without anything to measure it by. Without a warm one to go by, nothing was
 // sent at all until the first was warm.
 func TestAllServersCold(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ := New(set, 4)
-	list := fleet(8)
+	list := testServers(8)
 	b.Endpoints(time.Second, ListFull, list, nil)
 	now, n := time.Minute, 0
 	ask := func(again bool) bool {
@@ -496,10 +496,10 @@
 // server that a request was sent to, and served by, if any.
 func coldFleet(t *testing.T) (b *Balancer, list []Server, now *time.Duration, ask func() string) {
 	t.Helper()
-	set := site()
+	set := testSettings()
 	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ = New(set, 4)
-	list = fleet(8)
+	list = testServers(8)
 	b.Endpoints(time.Second, ListFull, list, nil)
 	now, n := new(time.Duration), 0
 	*now = time.Minute
--- a/balance/noticed_test.go
+++ b/balance/noticed_test.go
@@ -16,12 +16,12 @@
 		after time.Duration
 		again bool
 	}{{50 * ms, true}, {450 * ms, false}} {
-		set := site()
+		set := testSettings()
 		set.CanHedge = false
 		set.Classes[1].LatencyObjective, set.Classes[1].Deadline = 2*time.Second, 2*time.Second
 		b, _ := New(set, 3)
 		now := time.Minute
-		b.Endpoints(now, ListFull, fleet(9), nil)
+		b.Endpoints(now, ListFull, testServers(9), nil)
 		b.Request(now, Request{ID: "a", Class: "join", Deadline: now + 2*time.Second}, nil)
 		now += tc.after
 		acts := b.Outcome(now, Outcome{Request: "a", Status: Reset, Took: tc.after}, nil)
@@ -42,11 +42,11 @@
 func TestHungServerShowsBeforeItsTimeout(t *testing.T) {
 	worse := 0
 	for seed := range uint64(40) {
-		set := site()
+		set := testSettings()
 		set.CanHedge = false
 		b, _ := New(set, seed)
 		now := time.Minute
-		b.Endpoints(now, ListFull, fleet(2), nil)
+		b.Endpoints(now, ListFull, testServers(2), nil)
 		hung := sentTo(b.Request(now, Request{ID: "old", Class: "record", Deadline: now + time.Hour}, nil))
 		now += 600 * ms
 		for i := 0; ; i++ {
@@ -70,11 +70,11 @@
 // After an ejection one request at a time goes to the server until one went
 // well, also while all others are busy.
 func TestSingleTrialWhileOthersAreBusy(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 9)
 	now := time.Minute
-	b.Endpoints(now, ListFull, fleet(4), nil)
+	b.Endpoints(now, ListFull, testServers(4), nil)
 	n := 0
 	send := func() (id, to string) {
 		n++
@@ -84,7 +84,7 @@
 	id, bad := send()
 	b.Outcome(now, Outcome{Request: id, Status: ConnectFailed, Took: ms}, nil)
 	b.Disconnected(now, id, nil)
-	now = b.byID[bad].until + time.Minute
+	now = b.serversByID[bad].ejectedUntil + time.Minute
 	got := 0
 	for range 60 {
 		if _, to := send(); to == bad {
@@ -100,10 +100,10 @@
 // an overload, and where the settings have no such advice, they say nothing.
 func TestRefusalsSayWhenToReturn(t *testing.T) {
 	for _, tc := range []struct{ advice, overload, want float64 }{{1, 0.5, 1}, {1, 0, 0}, {0, 0.5, 0}} {
-		set := site()
+		set := testSettings()
 		set.RetryAfter = time.Duration(tc.advice * float64(time.Second))
 		b, _ := New(set, 1)
-		b.overload = tc.overload
+		b.shedShare = tc.overload
 		now := time.Minute // with no server at all everything is refused in the end
 		b.Request(now, Request{ID: "a", Class: "read", Deadline: now + 30*ms}, nil)
 		b.Request(now, Request{ID: "b", Class: "read", Deadline: now + 30*ms}, nil)
@@ -120,9 +120,9 @@
 // The attempt that lost to its copy is cancelled, and what is out when the
 // client leaves.
 func TestLosersAreCancelled(t *testing.T) {
-	b, _ := New(site(), 4)
+	b, _ := New(testSettings(), 4)
 	now := time.Minute
-	b.Endpoints(now, ListFull, fleet(9), nil)
+	b.Endpoints(now, ListFull, testServers(9), nil)
 	cancelled := func(acts []Action) (n []int) {
 		for _, a := range acts {
 			if a.Kind == Cancel {
--- a/balance/over_test.go
+++ b/balance/over_test.go
@@ -10,10 +10,10 @@
 // where nothing ran or a repeat is harmless, else a failure. Nothing is sent any
 // more.
 func TestOver(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge = false
-	d := newBed(t, set, 4)
-	d.members(ListFull, fleet(6))
+	d := newHarness(t, set, 4)
+	d.members(ListFull, testServers(6))
 	for id, class := range map[string]int{"read": 0, "join": 1, "record": 2, "never": 2, "done": 0} {
 		if sentTo(d.request(id, class)) == "" {
 			t.Fatalf("%s was not sent", id)
@@ -52,7 +52,7 @@
 	if sent == 0 {
 		t.Error("nothing is sent afterwards")
 	}
-	if len(d.broken) > 0 {
-		t.Error(d.broken)
+	if len(d.violations) > 0 {
+		t.Error(d.violations)
 	}
 }
--- a/balance/recording_test.go
+++ b/balance/recording_test.go
@@ -59,7 +59,7 @@
 	events   int
 	kinds    [CloseIdle + 1]int
 	total    [CloseIdle + 1]int
-	statuses [statuses]int
+	statuses [statusCount]int
 	lines    []string
 }
 
@@ -70,19 +70,19 @@
 
 // recordedState appends what a balancer has learnt, to the last bit.
 func recordedState(text []byte, b *Balancer) []byte {
-	text = fmt.Append(text, b.overload, b.served, b.success, b.perWarm, b.warmLast, b.warm, b.usual, b.tenantRate, b.worthSum, b.quotaSum, "\n")
-	for _, class := range b.classStat {
-		text = fmt.Append(text, class.latency, class.work, "\n")
+	text = fmt.Append(text, b.shedShare, b.servedShare, b.servedByWarm, b.lastPerWarm, b.lastWarmCount, b.warmCount, b.baselineFailures, b.tenantShares, b.weightSum, b.quotaSum, "\n")
+	for _, class := range b.classEstimates {
+		text = fmt.Append(text, class.meanLatency, class.meanWork, "\n")
 	}
-	for _, s := range b.all {
-		text = fmt.Append(text, s.ID, s.ratio, s.count, int64(s.counted), s.run, s.outs, int64(s.until), s.trial, len(s.out), len(s.idle), "\n")
+	for _, s := range b.servers {
+		text = fmt.Append(text, s.ID, s.latencyRatio, s.evidence, int64(s.sampledAt), s.failures, s.ejections, int64(s.ejectedUntil), s.trialInFlight, len(s.inFlight), len(s.idleSince), "\n")
 	}
 	return text
 }
 
 func newRecorder(t *testing.T, run recordedRun) *recorder {
 	t.Helper()
-	set := site()
+	set := testSettings()
 	set.Classes = append(set.Classes,
 		Class{Name: "stretched", LatencyObjective: 40 * ms, ObjectivePerWork: 3, Deadline: 700 * ms, PriorityWeight: 0.4, Idempotency: Idempotent, DedupScope: ScopeZone},
 		Class{Name: "anywhere", LatencyObjective: 250 * ms, Deadline: 800 * ms, PriorityWeight: 5, LatePriorityWeight: 0.1, Idempotency: IdempotentWithKey, DedupScope: ScopeAll, DedupWindow: 300 * ms},
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &recorder{run: run, balancer: b, rng: rand.New(rand.NewPCG(run.seed, 77)), now: time.Minute, list: fleet(run.hosts)}
+	return &recorder{run: run, balancer: b, rng: rand.New(rand.NewPCG(run.seed, 77)), now: time.Minute, list: testServers(run.hosts)}
 }
 
 // take writes an event's actions down and plans what follows from them.
@@ -148,7 +148,7 @@
 	slow := strings.HasSuffix(a.Server, "3")
 	switch {
 	case r.phase == 1 && r.rng.IntN(3) == 0: // each kind of failure
-		status = Status(r.rng.IntN(int(statuses)))
+		status = Status(r.rng.IntN(int(statusCount)))
 	case r.phase == 2: // overload: all is late
 		took *= 20
 		if r.rng.IntN(4) == 0 {
@@ -161,7 +161,7 @@
 	case slow:
 		took *= 4
 	case r.rng.IntN(50) == 0:
-		status = Status(r.rng.IntN(int(statuses)))
+		status = Status(r.rng.IntN(int(statusCount)))
 	}
 	if status == Timeout {
 		took = a.Wait
@@ -185,8 +185,8 @@
 // request sends a drawn request.
 func (r *recorder) request(id string) {
 	class := Class{Name: "unannounced", Deadline: 400 * ms}
-	if n := r.rng.IntN(len(r.balancer.set.Classes)); r.balancer.set.Classes[n].Name != "" {
-		class = r.balancer.set.Classes[n]
+	if n := r.rng.IntN(len(r.balancer.settings.Classes)); r.balancer.settings.Classes[n].Name != "" {
+		class = r.balancer.settings.Classes[n]
 	}
 	q := Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline, IsRetry: r.rng.IntN(8) == 0,
 		Tenant: []string{"big", "big", "small", "none", "unknown"}[r.rng.IntN(5)]}
@@ -232,10 +232,10 @@
 	case 3:
 		r.take("request", r.balancer.Request(r.now, Request{ID: id, Class: "read", Deadline: r.now + 300*ms}, nil))
 	case 4:
-		classes := append([]Class(nil), r.balancer.set.Classes[:len(r.balancer.set.Classes)-1]...)
+		classes := append([]Class(nil), r.balancer.settings.Classes[:len(r.balancer.settings.Classes)-1]...)
 		at := r.rng.IntN(len(classes))
 		classes[at].PriorityWeight, classes[at].LatencyObjective = 1+float64(r.rng.IntN(4)), time.Duration(50+r.rng.IntN(300))*ms
-		tenants := r.balancer.set.Tenants
+		tenants := r.balancer.settings.Tenants
 		if r.rng.IntN(2) == 0 && tenants != nil {
 			tenants = []Tenant{{"big", float64(100 + r.rng.IntN(500))}, {"small", 100}, {"none", 0}}
 		}
@@ -288,7 +288,7 @@
 func TestActionsEqualTheRecording(t *testing.T) {
 	var lines []string
 	var kinds [CloseIdle + 1]int
-	var ends [statuses]int
+	var ends [statusCount]int
 	for _, run := range recordedRuns {
 		r := newRecorder(t, run)
 		r.play()
--- a/balance/shed_test.go
+++ b/balance/shed_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// shareRefused sends n requests a gap apart that all are still out at their
+// shedShareAfterUnfinished sends n requests a gap apart that all are still out at their
 // aim, then counts how many of 200 more are refused at once.
-func shareRefused(class string, n int, gap time.Duration) float64 {
-	b, _ := New(site(), 5)
-	b.Endpoints(time.Second, ListFull, fleet(9), nil)
+func shedShareAfterUnfinished(class string, n int, gap time.Duration) float64 {
+	b, _ := New(testSettings(), 5)
+	b.Endpoints(time.Second, ListFull, testServers(9), nil)
 	now, refused := time.Minute, 0
 	send := func(id string) bool {
 		now += gap
@@ -34,7 +34,7 @@
 // is worth nothing and the request ends there (iaba009).
 func TestAttemptsOutAtTheirAimRaiseTheShareRefused(t *testing.T) {
 	for _, class := range []string{"join", "record"} {
-		if got := shareRefused(class, 60, 2*time.Second); got < 0.5 {
+		if got := shedShareAfterUnfinished(class, 60, 2*time.Second); got < 0.5 {
 			t.Errorf("%s: %.2f refused, want most", class, got)
 		}
 	}
@@ -43,17 +43,17 @@
 // A quiet balancer must learn of an overload from few requests, a busy one by
 // small steps (iaba009).
 func TestQuietBalancersLearnOverloadFaster(t *testing.T) {
-	set := site()
+	set := testSettings()
 	share := func(gap time.Duration) float64 {
 		b, _ := New(set, 5)
 		for i := range 100 {
-			b.budget.first(time.Minute + time.Duration(i)*gap)
+			b.budget.recordFirst(time.Minute + time.Duration(i)*gap)
 		}
-		b.learnOverload(time.Minute+100*gap, shedUp)
-		return b.overload
+		b.adjustShedShare(time.Minute+100*gap, shedStepLate)
+		return b.shedShare
 	}
 	busy, quiet := share(10*ms), share(2*time.Second)
-	if busy != shedUp || quiet < 3*shedUp || quiet > shedFast*shedUp {
+	if busy != shedStepLate || quiet < 3*shedStepLate || quiet > maxShedStepMultiple*shedStepLate {
 		t.Errorf("one late answer: busy %.3f, quiet %.3f", busy, quiet)
 	}
 }
@@ -61,10 +61,10 @@
 // A key has one home, whose cache it fills; its second server takes over when
 // the home is much worse (bosch-hearings, big-2).
 func TestKeyStaysAtItsHome(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.KeyAffinity, set.CanHedge = true, false
 	b, _ := New(set, 6)
-	b.Endpoints(time.Second, ListFull, fleet(12), nil)
+	b.Endpoints(time.Second, ListFull, testServers(12), nil)
 	now, n := time.Minute, 0
 	homes := func(slow string) map[string]int {
 		sent := map[string]int{}
@@ -108,8 +108,8 @@
 // tenant above its share is not refused for it. And requests refused at once
 // must not lower the share that cold servers get (ifb7b22).
 func TestColdServersServingAreNoScarcity(t *testing.T) {
-	b, _ := New(site(), 7)
-	list := fleet(12)
+	b, _ := New(testSettings(), 7)
+	list := testServers(12)
 	for i := range list {
 		list[i].StartTime = time.Minute - time.Second // all cold
 	}
@@ -122,18 +122,18 @@
 		b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms}, nil)
 		b.Outcome(now, Outcome{Request: id, Status: OK, Took: ms, Final: true}, nil)
 	}
-	if b.served < 0.95 || b.success > 0.9 {
-		t.Errorf("served %.2f, by warm servers %.2f; want nearly all, fewer", b.served, b.success)
+	if b.servedShare < 0.95 || b.servedByWarm > 0.9 {
+		t.Errorf("served %.2f, by warm servers %.2f; want nearly all, fewer", b.servedShare, b.servedByWarm)
 	}
-	before := b.success
-	b.overload = shedMost
+	before := b.servedByWarm
+	b.shedShare = maxShedShare
 	for i := range 100 {
 		id := fmt.Sprint("refused", i)
-		q := &request{Request: Request{ID: id}, class: &b.set.Classes[0]}
+		q := &request{Request: Request{ID: id}, class: &b.settings.Classes[0]}
 		b.requests[id] = q
-		b.end(q, now)
+		b.answer(q, now)
 	}
-	if b.success != before {
-		t.Errorf("requests refused at once moved the warm servers' share from %.2f to %.2f", before, b.success)
+	if b.servedByWarm != before {
+		t.Errorf("requests refused at once moved the warm servers' share from %.2f to %.2f", before, b.servedByWarm)
 	}
 }
--- a/balance/tenant_test.go
+++ b/balance/tenant_test.go
@@ -10,11 +10,11 @@
 // that keeps to it, and only while servers are scarce.
 func TestTenantOverItsShareGoesFirst(t *testing.T) {
 	for _, scarceNow := range []bool{true, false} {
-		set := site()
+		set := testSettings()
 		set.OverQuotaWeight = 0.05
 		set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 		b, _ := New(set, 4)
-		b.Endpoints(0, ListCached, fleet(12), nil)
+		b.Endpoints(0, ListCached, testServers(12), nil)
 		refused, sent := map[string]int{}, map[string]int{}
 		now := time.Second
 		for n := range 1000 {
--- a/balance/usual_test.go
+++ b/balance/usual_test.go
@@ -9,10 +9,10 @@
 // Where one attempt in ten is reset at all servers alike, hardly a healthy one
 // is put out; one that dies in the middle of it soon is.
 func TestUsualFailuresDoNotEject(t *testing.T) {
-	set := site()
+	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 3)
-	b.Endpoints(time.Second, ListFull, fleet(6), nil)
+	b.Endpoints(time.Second, ListFull, testServers(6), nil)
 	now, dead, after, out := time.Minute, "", 0, 0
 	for i := range 8000 {
 		now += 3 * ms
@@ -23,13 +23,13 @@
 		case to != "" && to == dead:
 			status = ConnectFailed
 			after++
-		case mix(uint64(i))%10 == 0:
+		case mixBits(uint64(i))%10 == 0:
 			status = Reset
 		}
 		b.Outcome(now+ms, Outcome{Request: id, Status: status, Took: ms, Final: status == OK}, nil)
 		b.Disconnected(now+ms, id, nil)
-		for _, s := range b.all {
-			if i > 1000 && s.until > now && s.ID != dead {
+		for _, s := range b.servers {
+			if i > 1000 && s.ejectedUntil > now && s.ID != dead {
 				out++
 			}
 		}
