--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -13,7 +13,7 @@
 	sentAt          time.Duration
 	expectedLatency float64 // nanoseconds, as estimated when it was sent
 	newConnection   bool
-	ended           bool
+	finished        bool
 	status          Status // once it has ended
 }
 
@@ -30,58 +30,58 @@
 }
 
 // startAttempt sends an attempt and plans its hedged request.
-func (b *Balancer) startAttempt(r *request, s *server, now time.Duration) {
-	a := &attempt{request: r, server: s, number: len(r.attempts), sentAt: now, expectedLatency: b.expectedLatency(r)}
+func (b *Balancer) startAttempt(r *request, target *server, now time.Duration) {
+	started := &attempt{request: r, server: target, number: len(r.attempts), sentAt: now, expectedLatency: b.expectedLatency(r)}
 	sendBy := r.valueDeadline
 	if r.maybeExecuted != nil && r.class.Idempotency == IdempotentWithKey {
 		sendBy = min(sendBy, r.maybeExecuted.sentAt+r.class.DedupWindow)
 	}
-	if a.number == 0 {
+	if started.number == 0 {
 		b.budget.recordFirst(now)
 	} else {
 		b.budget.recordRetry(now)
 	}
-	r.attempts = append(r.attempts, a)
+	r.attempts = append(r.attempts, started)
 	r.inFlight++
-	s.inFlight = append(s.inFlight, a)
-	a.newConnection = b.takeConnection(s, now)
-	s.trialInFlight = s.ejections > 0
+	target.inFlight = append(target.inFlight, started)
+	started.newConnection = b.useConnection(target, now)
+	target.trialInFlight = target.ejections > 0
 	if r.maybeExecuted == nil {
-		r.maybeExecuted = a
+		r.maybeExecuted = started
 	}
-	b.emit(Action{Kind: Send, Request: r.ID, Server: s.ID, Number: a.number, Wait: max(r.valueDeadline-now, 1), SendDeadline: max(sendBy-now, 1)})
+	b.emit(Action{Kind: Send, Request: r.ID, Server: target.ID, Number: started.number, Wait: max(r.valueDeadline-now, 1), SendDeadline: max(sendBy-now, 1)})
 	if b.settings.CanHedge && r.class.Idempotency != NonIdempotent && len(r.attempts) < b.settings.MaxAttempts {
-		b.scheduleHedge(a, now)
+		b.scheduleHedge(started, now)
 	}
 }
 
 // Outcome takes the end of an attempt. One that is not known is ignored.
-func (b *Balancer) Outcome(now time.Duration, o Outcome, acts []Action) []Action {
+func (b *Balancer) Outcome(now time.Duration, outcome Outcome, acts []Action) []Action {
 	b.actions = acts
-	r := b.requests[o.Request]
-	if r == nil || o.Number < 0 || o.Number >= len(r.attempts) || r.attempts[o.Number].ended {
+	r := b.requests[outcome.Request]
+	if r == nil || outcome.Number < 0 || outcome.Number >= len(r.attempts) || r.attempts[outcome.Number].finished {
 		return b.finishEvent(now)
 	}
-	a := r.attempts[o.Number]
-	a.ended, a.status = true, o.Status
+	current := r.attempts[outcome.Number]
+	current.finished, current.status = true, outcome.Status
 	r.inFlight--
-	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(x *attempt) bool { return x == a })
+	current.server.inFlight = slices.DeleteFunc(current.server.inFlight, func(x *attempt) bool { return x == current })
 	r.maybeExecuted = nil
-	if i := slices.IndexFunc(r.attempts, func(x *attempt) bool { return !x.ended || !x.status.provablyNotExecuted() }); i >= 0 {
+	if i := slices.IndexFunc(r.attempts, func(x *attempt) bool { return !x.finished || !x.status.provablyNotExecuted() }); i >= 0 {
 		r.maybeExecuted = r.attempts[i]
 	}
-	b.recordOutcome(now, a, o.Status, o.Took)
-	served := o.Status == OK && !r.answered
+	b.recordOutcome(now, current, outcome.Status, outcome.Took)
+	served := outcome.Status == OK && !r.answered
 	switch {
 	case r.answered:
 		b.discard(r)
-	case o.Final || served:
+	case outcome.Final || served:
 		b.complete(r)
 	case r.inFlight == 0 && !r.resendPending:
 		b.retry(r, now)
 	}
 	if served {
-		b.recordServed(now, a)
+		b.recordServed(now, current)
 	}
 	return b.finishEvent(now)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -28,7 +28,7 @@
 	serversByID    map[string]*server
 	servers        []*server
 	ready          []*server // in the order of this balancer's own
-	orderSalt      uint64    // makes that order
+	shuffleSeed    uint64    // makes that order
 	listGeneration uint64
 	ring           ring
 	subscribed     bool
@@ -47,11 +47,11 @@
 	quotaSum     float64
 
 	// Slow start.
-	servedByWarm  float64 // share of the recent requests that warm servers served
-	lastPerWarm   float64 // the same for each warm server, against an even share, when there last was one
-	lastWarmCount float64 // and how many there were
-	warmCount     int     // of the last count
-	nextWarmCount time.Duration
+	servedByWarm      float64 // share of the recent requests that warm servers served
+	previousPerWarm   float64 // the same for each warm server, against an even share, when there last was one
+	previousWarmCount float64 // and how many there were
+	warmCount         int     // of the last count
+	nextWarmCount     time.Duration
 }
 
 // New returns a Balancer that knows no server yet. All its randomness comes from
@@ -68,9 +68,9 @@
 		requests:       map[string]*request{},
 		serversByID:    map[string]*server{},
 		tenantIndex:    map[string]int{},
-		servedByWarm:   1, lastPerWarm: 1, lastWarmCount: 1,
+		servedByWarm:   1, previousPerWarm: 1, previousWarmCount: 1,
 		servedShare: 1,
-		orderSalt:   mixBits(seed + 1),
+		shuffleSeed: mixBits(seed + 1),
 	}
 	b.setClasses(set.Classes)
 	b.setTenants(set.Tenants)
@@ -110,7 +110,7 @@
 // emit appends an action.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// Retained counts the entries held, so that a caller can watch that they don't grow.
+// Retained counts the entries stored, so that a caller can watch that they don't grow.
 func (b *Balancer) Retained() int {
 	return len(b.requests) + len(b.timers) + len(b.servers) + len(b.ring.points) + len(b.budget.firsts) + len(b.budget.retries)
 }
--- a/balance/budgetuse_test.go
+++ b/balance/budgetuse_test.go
@@ -26,6 +26,7 @@
 }
 
 func checkBudget(t *testing.T, perSec int, hang bool, wantMore int) {
+	t.Helper()
 	b, err := New(Settings{
 		Classes:     []Class{{Name: "roster", LatencyObjective: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, PriorityWeight: 1, Idempotency: Idempotent}},
 		MaxAttempts: 3, CanCancel: true, CanHedge: true, InitialCapacity: 1,
--- a/balance/change_test.go
+++ b/balance/change_test.go
@@ -91,7 +91,7 @@
 
 func TestChangeOfWorthsAndTenants(t *testing.T) {
 	set := testSettings()
-	set.OverQuotaWeight = 0.05
+	set.QuotaExcessWeight = 0.05
 	set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 	b, err := New(set, 1)
 	if err != nil {
--- a/balance/churn_test.go
+++ b/balance/churn_test.go
@@ -31,7 +31,8 @@
 	if len(b.ejected) > 8 || len(b.ready) > 8 || len(b.servers) > 8 {
 		t.Errorf("kept of 8 servers: %d ejections, %d ready, %d in all", len(b.ejected), len(b.ready), len(b.servers))
 	}
-	if now += time.Hour; len(b.Timer(now, 0, nil)) >= 0 && (len(b.requests) > 0 || len(b.timers) > 1) {
+	b.Timer(now+time.Hour, 0, nil)
+	if len(b.requests) > 0 || len(b.timers) > 1 {
 		t.Errorf("%d requests and %d wakes kept", len(b.requests), len(b.timers))
 	}
 }
--- a/balance/connections.go
+++ b/balance/connections.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// takeConnection takes an idle connection to a server, or tells that a new one is
+// useConnection takes an idle connection to a server, or tells that a new one is
 // needed.
-func (b *Balancer) takeConnection(s *server, now time.Duration) (isNew bool) {
+func (b *Balancer) useConnection(s *server, now time.Duration) (isNew bool) {
 	if isNew = !b.hasIdleConnection(s, now); isNew {
 		s.idleSince = nil // all have expired
 	} else {
--- a/balance/depth_test.go
+++ b/balance/depth_test.go
@@ -74,7 +74,8 @@
 	chainRate     = 60 // calls a second
 )
 
-func newCallChain(t testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
+func newCallChain(tb testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
+	tb.Helper()
 	c := &callChain{fails: fails, way: way, calls: map[string]*chainCall{}}
 	settings := testSettings()
 	settings.CanHedge = false
@@ -82,7 +83,7 @@
 	for hop := range depth {
 		b, err := New(settings, uint64(hop+1))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		c.hops = append(c.hops, b)
 		c.take(hop, b.Endpoints(0, ListFull, testServers(chainServers), nil))
@@ -176,9 +177,10 @@
 
 // multiplied is how many times its usual load the deepest service gets in the first
 // second in which it fails, and in the first ten.
-func multiplied(t testing.TB, depth int, way chainWay) (second, window float64) {
+func multiplied(tb testing.TB, depth int, way chainWay) (second, window float64) {
+	tb.Helper()
 	const fails = 20 * time.Second
-	c := newCallChain(t, depth, fails, way)
+	c := newCallChain(tb, depth, fails, way)
 	for i := range 30 * chainRate {
 		c.at(time.Duration(i)*time.Second/chainRate, func() { c.call(0, "", 0, c.now+chainDeadline) })
 	}
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -41,7 +41,7 @@
 type server struct {
 	Server
 	hash         uint64 // of its ID
-	order        uint64 // place in the ready list
+	sortKey      uint64 // place in the ready list
 	generation   uint64 // of the list that last named it
 	inFlight     []*attempt
 	latencyRatio float64 // mean of latency over expected latency
@@ -84,31 +84,31 @@
 
 // applyEndpoint takes one entry. A later start time means a new process: it warms up,
 // and what was learnt of the old one is dropped.
-func (b *Balancer) applyEndpoint(e *Server, added []ringPoint) []ringPoint {
-	s := b.serversByID[e.ID]
-	if s == nil {
-		if e.State == Removed {
+func (b *Balancer) applyEndpoint(entry *Server, added []ringPoint) []ringPoint {
+	known := b.serversByID[entry.ID]
+	if known == nil {
+		if entry.State == Removed {
 			return added
 		}
-		s = &server{hash: hashString(e.ID)}
-		s.order = mixBits(s.hash ^ b.orderSalt)
-		b.serversByID[e.ID] = s
-		b.servers = append(b.servers, s)
+		known = &server{hash: hashString(entry.ID)}
+		known.sortKey = mixBits(known.hash ^ b.shuffleSeed)
+		b.serversByID[entry.ID] = known
+		b.servers = append(b.servers, known)
 		for i := uint64(0); b.settings.KeyAffinity && i < pointsPerServer; i++ {
-			added = append(added, ringPoint{mixBits(s.hash + i*0x9e3779b97f4a7c15), s})
+			added = append(added, ringPoint{mixBits(known.hash + i*0x9e3779b97f4a7c15), known})
 		}
-	} else if e.StartTime > s.StartTime {
-		s.latencyRatio, s.evidence, s.ejectionState, s.idleSince = 0, 0, ejectionState{}, nil
+	} else if entry.StartTime > known.StartTime {
+		known.latencyRatio, known.evidence, known.ejectionState, known.idleSince = 0, 0, ejectionState{}, nil
 	}
-	s.Server, s.generation = *e, b.listGeneration
-	b.updateReady(s)
+	known.Server, known.generation = *entry, b.listGeneration
+	b.updateReady(known)
 	return added
 }
 
 // updateReady keeps the ready list in step with a server's state. The list has this
 // balancer's own random order, so that its first few are the subset it samples.
 func (b *Balancer) updateReady(s *server) {
-	at, listed := slices.BinarySearchFunc(b.ready, s.order, func(e *server, o uint64) int { return cmp.Compare(e.order, o) })
+	at, listed := slices.BinarySearchFunc(b.ready, s.sortKey, func(e *server, o uint64) int { return cmp.Compare(e.sortKey, o) })
 	switch {
 	case s.State == Ready && !listed:
 		b.ready = slices.Insert(b.ready, at, s)
@@ -119,9 +119,9 @@
 
 // dropRemoved drops the servers that left the list.
 func (b *Balancer) dropRemoved() {
-	gone := func(s *server) bool { return s.State == Removed }
-	maps.DeleteFunc(b.serversByID, func(_ string, s *server) bool { return gone(s) })
-	b.servers = slices.DeleteFunc(b.servers, gone)
-	b.ejected = slices.DeleteFunc(b.ejected, gone)
-	b.ring.points = slices.DeleteFunc(b.ring.points, func(p ringPoint) bool { return gone(p.server) })
+	removed := func(s *server) bool { return s.State == Removed }
+	maps.DeleteFunc(b.serversByID, func(_ string, s *server) bool { return removed(s) })
+	b.servers = slices.DeleteFunc(b.servers, removed)
+	b.ejected = slices.DeleteFunc(b.ejected, removed)
+	b.ring.points = slices.DeleteFunc(b.ring.points, func(p ringPoint) bool { return removed(p.server) })
 }
--- a/balance/hedge.go
+++ b/balance/hedge.go
@@ -27,7 +27,7 @@
 // hedge sends a hedged request for one whose attempt has been in flight for long. It
 // draws on the retry budget like any retry.
 func (b *Balancer) hedge(r *request, now time.Duration, number int) {
-	if !r.attempts[number].ended && r.inFlight == 1 && !r.resendPending {
+	if !r.attempts[number].finished && r.inFlight == 1 && !r.resendPending {
 		b.send(r, now)
 	}
 }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -11,12 +11,12 @@
 	workSampleWeight       = 0.075           // weight of a hint in its class's mean
 	waitingShare           = 0.5             // of the latency, taken to be waiting, which no hint covers
 	maxWorkMultiple        = 20              // bound on a hint over its class's mean
-	evidenceHalfLife       = 8 * time.Second // of the samples of one server
+	evidenceHalving        = 8 * time.Second // of the samples of one server
 	evidencePrior          = 1.5             // samples that the fleet's mean counts for
 	maxEvidence            = 8.0             // samples remembered, so that new ones keep counting
 	failureLatencyMultiple = 3.0             // a failed attempt counts as this many times its expected latency at least
 	minExpectedLatency     = time.Millisecond
-	objectiveOverLatency   = 4 // latency objective over expected latency, before the first sample
+	initialLatencyDivisor  = 4 // latency objective over expected latency, before the first sample
 )
 
 // classEstimate is what was learnt of a class.
@@ -46,22 +46,22 @@
 	if l := b.classEstimates[r.classIndex].meanLatency; l > 0 {
 		return max(l*b.workFactor(r), float64(minExpectedLatency))
 	}
-	return max(float64(r.class.LatencyObjective)/objectiveOverLatency, float64(minExpectedLatency))
+	return max(float64(r.class.LatencyObjective)/initialLatencyDivisor, float64(minExpectedLatency))
 }
 
 // recordOutcome takes the result of an attempt into what is known of its server.
-func (b *Balancer) recordOutcome(now time.Duration, a *attempt, status Status, took time.Duration) {
-	s, ratio := a.server, float64(took)/a.expectedLatency
-	s.trialInFlight = false
+func (b *Balancer) recordOutcome(now time.Duration, current *attempt, status Status, took time.Duration) {
+	target, ratio := current.server, float64(took)/current.expectedLatency
+	target.trialInFlight = false
 	switch status {
 	case OK:
-		s.idleSince = append(s.idleSince, now)
-		b.updateClassEstimate(a.request, took)
-		b.updateBaseline(s)
-		s.ejectionState = ejectionState{}
+		target.idleSince = append(target.idleSince, now)
+		b.updateClassEstimate(current.request, took)
+		b.updateBaseline(target)
+		target.ejectionState = ejectionState{}
 	case Cancelled:
 		// It lost to another attempt and took at least this long.
-		if ratio <= b.estimatedRatio(s, now) {
+		if ratio <= b.estimatedRatio(target, now) {
 			return
 		}
 	case NeverSent:
@@ -69,13 +69,13 @@
 	default:
 		ratio = max(failureLatencyMultiple, ratio)
 	}
-	if status == ConnectFailed || status == AtCapacity && a.newConnection {
+	if status == ConnectFailed || status == AtCapacity && current.newConnection {
 		b.closeLongestIdle(now)
 	}
-	b.addSample(s, now, ratio)
+	b.addSample(target, now, ratio)
 	if threshold := ejectionThresholds[status]; threshold > 0 {
-		s.failures[status]++
-		b.ejectIfOutlier(s, now, threshold)
+		target.failures[status]++
+		b.ejectIfOutlier(target, now, threshold)
 	}
 }
 
@@ -84,7 +84,7 @@
 	if s.evidence == 0 {
 		return 0
 	}
-	return s.evidence * math.Exp2(-float64(now-s.sampledAt)/float64(evidenceHalfLife))
+	return s.evidence * math.Exp2(-float64(now-s.sampledAt)/float64(evidenceHalving))
 }
 
 // addSample adds one latency ratio to the samples of a server.
--- a/balance/lifecycle_test.go
+++ b/balance/lifecycle_test.go
@@ -66,12 +66,13 @@
 	answered bool
 }
 
-func newHarness(t testing.TB, set Settings, seed uint64) *harness {
+func newHarness(tb testing.TB, set Settings, seed uint64) *harness {
+	tb.Helper()
 	b, err := New(set, seed)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return &harness{t: t, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*observedRequest{},
+	return &harness{t: tb, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*observedRequest{},
 		servers: map[string]Server{}, drained: map[string]time.Duration{}}
 }
 
@@ -79,7 +80,7 @@
 	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-func (d *harness) members(kind ListKind, list []Server) []Action {
+func (d *harness) members(kind ListKind, list []Server) {
 	for _, s := range list {
 		if s.State == Ready {
 			delete(d.drained, s.ID)
@@ -88,7 +89,7 @@
 		}
 		d.servers[s.ID] = s
 	}
-	return d.take(d.b.Endpoints(d.now, kind, list, nil))
+	d.take(d.b.Endpoints(d.now, kind, list, nil))
 }
 
 func (d *harness) request(id string, class int) []Action {
@@ -124,7 +125,7 @@
 			}
 			q.answered = true
 			if a.Kind == Reject && q.class.Idempotency != Idempotent && d.anchor(q) >= 0 &&
-				!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) {
+				(q.class.Idempotency != IdempotentWithKey || q.class.DedupScope != ScopeAll) {
 				d.violate("rule 2: %s refused though it may have run", a.Request)
 			}
 		}
@@ -192,8 +193,9 @@
 }
 
 // play runs a random but legal day and returns its bed.
-func play(t testing.TB, seed uint64, ticks int) *harness {
-	d := newHarness(t, testSettings(), seed)
+func play(tb testing.TB, seed uint64, ticks int) *harness {
+	tb.Helper()
+	d := newHarness(tb, testSettings(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	d.members(ListCached, testServers(12))
 	var open []string
@@ -494,13 +496,12 @@
 
 // coldFleet is a balancer whose eight servers were warm, and how to ask it: the
 // server that a request was sent to, and served by, if any.
-func coldFleet(t *testing.T) (b *Balancer, list []Server, now *time.Duration, ask func() string) {
+func coldFleet(t *testing.T) (b *Balancer, now *time.Duration, ask func() string) {
 	t.Helper()
 	set := testSettings()
 	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ = New(set, 4)
-	list = testServers(8)
-	b.Endpoints(time.Second, ListFull, list, nil)
+	b.Endpoints(time.Second, ListFull, testServers(8), nil)
 	now, n := new(time.Duration), 0
 	*now = time.Minute
 	ask = func() string {
@@ -517,13 +518,14 @@
 	for range 400 {
 		ask()
 	}
-	return b, list, now, ask
+	return b, now, ask
 }
 
 // The first server of a fleet that is back alone gets what one of eight did, not
 // what all did.
 func TestFirstColdServerBackAlone(t *testing.T) {
-	b, list, now, ask := coldFleet(t)
+	b, now, ask := coldFleet(t)
+	list := testServers(8)
 	gone := append([]Server(nil), list...)
 	for i := range gone {
 		gone[i].State = Removed
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -42,24 +42,24 @@
 // ejectIfOutlier ejects a server after enough failures in a row, within the bound on
 // the ejected share. After that time a single trial request may go there. Where
 // attempts fail at all servers alike, as with a bad network or an overload, runs of
-// failures come by chance, and ejecting healthy servers overloads the rest: the run
+// failures come by chance, and ejecting healthy servers overloads the others: the run
 // must also be unlikely at a healthy server. A server that dies meanwhile takes a few
 // more failures to show.
-func (b *Balancer) ejectIfOutlier(s *server, now time.Duration, threshold int) {
+func (b *Balancer) ejectIfOutlier(target *server, now time.Duration, threshold int) {
 	failures, probability := 0, 1.0
-	for status, n := range s.failures {
+	for status, n := range target.failures {
 		failures += n
 		probability *= math.Pow(min(max(b.baselineFailures[status], ejectionProbability), maxBaseline), float64(n))
 	}
-	if failures < threshold || probability > ejectionProbability || s.ejectedUntil > now {
+	if failures < threshold || probability > ejectionProbability || target.ejectedUntil > now {
 		return
 	}
 	b.ejected = slices.DeleteFunc(b.ejected, func(e *server) bool { return e.ejectedUntil <= now || e.State != Ready })
 	if float64(len(b.ejected)+1) > maxEjectedShare*float64(len(b.ready)) {
 		return
 	}
-	duration := min(firstEjection<<min(s.ejections, maxEjectionDoubles), maxEjection)
-	s.ejectedUntil = now + time.Duration(float64(duration)*(ejectionJitterFrom+ejectionJitterSpan*b.rng.Float64()))
-	s.ejections++
-	b.ejected = append(b.ejected, s)
+	duration := min(firstEjection<<min(target.ejections, maxEjectionDoubles), maxEjection)
+	target.ejectedUntil = now + time.Duration(float64(duration)*(ejectionJitterFrom+ejectionJitterSpan*b.rng.Float64()))
+	target.ejections++
+	b.ejected = append(b.ejected, target)
 }
--- a/balance/recording_test.go
+++ b/balance/recording_test.go
@@ -35,7 +35,7 @@
 	{"keys", 4, 24, func(s *Settings) { s.KeyAffinity = true }},
 	{"no-cancel", 5, 24, func(s *Settings) { s.CanCancel, s.RetryAfter = false, 0 }},
 	{"no-copy", 6, 8, func(s *Settings) { s.CanHedge, s.MaxAttempts = false, 2 }},
-	{"no-tenants", 7, 200, func(s *Settings) { s.Tenants, s.OverQuotaWeight, s.Subscribe = nil, 1, false }},
+	{"no-tenants", 7, 200, func(s *Settings) { s.Tenants, s.QuotaExcessWeight, s.Subscribe = nil, 1, false }},
 	{"no-cold", 8, 16, func(s *Settings) { s.WarmUpTime, s.WarmUpOverloadMultiple, s.IdleTimeout = 0, 0, 0 }},
 }
 
@@ -70,7 +70,7 @@
 
 // recordedState appends what a balancer has learnt, to the last bit.
 func recordedState(text []byte, b *Balancer) []byte {
-	text = fmt.Append(text, b.shedShare, b.servedShare, b.servedByWarm, b.lastPerWarm, b.lastWarmCount, b.warmCount, b.baselineFailures, b.tenantShares, b.weightSum, b.quotaSum, "\n")
+	text = fmt.Append(text, b.shedShare, b.servedShare, b.servedByWarm, b.previousPerWarm, b.previousWarmCount, b.warmCount, b.baselineFailures, b.tenantShares, b.weightSum, b.quotaSum, "\n")
 	for _, class := range b.classEstimates {
 		text = fmt.Append(text, class.meanLatency, class.meanWork, "\n")
 	}
@@ -88,7 +88,7 @@
 		Class{Name: "anywhere", LatencyObjective: 250 * ms, Deadline: 800 * ms, PriorityWeight: 5, LatePriorityWeight: 0.1, Idempotency: IdempotentWithKey, DedupScope: ScopeAll, DedupWindow: 300 * ms},
 		Class{Name: "zonal", LatencyObjective: 150 * ms, Deadline: 600 * ms, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 500 * ms})
 	set.Tenants = []Tenant{{"big", 600}, {"small", 100}, {"none", 0}}
-	set.OverQuotaWeight, set.Subscribe, set.RetryAfter, set.IdleTimeout = 0.05, true, time.Second, 4*time.Second
+	set.QuotaExcessWeight, set.Subscribe, set.RetryAfter, set.IdleTimeout = 0.05, true, time.Second, 4*time.Second
 	run.change(&set)
 	b, err := New(set, run.seed)
 	if err != nil {
--- a/balance/request.go
+++ b/balance/request.go
@@ -28,26 +28,26 @@
 
 // Request takes a request; from now on the Balancer owes its final answer. An ID
 // that is in flight already is ignored.
-func (b *Balancer) Request(now time.Duration, q Request, acts []Action) []Action {
+func (b *Balancer) Request(now time.Duration, arriving Request, acts []Action) []Action {
 	b.actions = acts
-	if b.requests[q.ID] != nil {
+	if b.requests[arriving.ID] != nil {
 		return b.finishEvent(now)
 	}
-	at, known := b.classIndex[q.Class]
+	at, known := b.classIndex[arriving.Class]
 	if !known {
 		at = len(b.settings.Classes) - 1
 	}
-	r := &request{Request: q, class: &b.settings.Classes[at], classIndex: at, work: float64(q.Work), arrivedAt: now}
-	if q.Key != "" && b.settings.KeyAffinity {
-		r.keyHash = hashString(q.Key)
+	r := &request{Request: arriving, class: &b.settings.Classes[at], classIndex: at, work: float64(arriving.Work), arrivedAt: now}
+	if arriving.Key != "" && b.settings.KeyAffinity {
+		r.keyHash = hashString(arriving.Key)
 	}
-	if q.Work > 0 {
+	if arriving.Work > 0 {
 		c := &b.classEstimates[at]
 		c.meanWork = cmp.Or(c.meanWork, r.work)
 		c.meanWork += workSampleWeight * (r.work - c.meanWork)
 	}
 	r.valueDeadline = b.valueDeadline(r, now)
-	b.requests[q.ID] = r
+	b.requests[arriving.ID] = r
 	if b.shed(r) {
 		b.answer(r, now)
 	} else {
@@ -102,7 +102,7 @@
 	}
 	b.emit(Action{Kind: kind, Request: r.ID, Wait: advice})
 	// Work that is in flight at its end feeds an overload: the server may continue
-	// it for nobody. What a server rejects it sheds by itself. The attempt's timeout
+	// it for nobody. What a server rejects it sheds, too. The attempt's timeout
 	// may come just before the request's own end.
 	if n := len(r.attempts); r.inFlight > 0 || n > 0 && r.attempts[n-1].status == Timeout {
 		b.adjustShedShare(now, shedStepUnfinished)
@@ -123,10 +123,10 @@
 	b.discard(r)
 }
 
-// cancelAllBut cancels a request's attempts in flight, except for attempt keep.
-func (b *Balancer) cancelAllBut(r *request, keep int) {
+// cancelAllBut cancels a request's attempts in flight, apart from number except.
+func (b *Balancer) cancelAllBut(r *request, except int) {
 	for _, a := range r.attempts {
-		if a.number != keep && !a.ended && b.settings.CanCancel {
+		if a.number != except && !a.finished && b.settings.CanCancel {
 			b.emit(Action{Kind: Cancel, Request: r.ID, Number: a.number})
 		}
 	}
@@ -150,7 +150,7 @@
 	return b.finishEvent(now)
 }
 
-// Disconnected takes that a client has gone; no answer is owed any more.
+// Disconnected takes that a client has gone; it needs no answer any more.
 func (b *Balancer) Disconnected(now time.Duration, id string, acts []Action) []Action {
 	b.actions = acts
 	if r := b.requests[id]; r != nil && !r.answered {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -49,7 +49,7 @@
 type Settings struct {
 	Classes                []Class
 	Tenants                []Tenant
-	OverQuotaWeight        float64       // value of a request above its tenant's quota; from 1 on quotas are ignored
+	QuotaExcessWeight      float64       // value of a request above its tenant's quota; from 1 on quotas are ignored
 	KeyAffinity            bool          // a server that has lately seen a key serves it cheaper
 	Subscribe              bool          // the endpoint list comes only after a subscription
 	MaxAttempts            int           // of one request, the first included
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -11,7 +11,7 @@
 	shedStepUnfinished  = 0.03 // a request whose attempt did not come back in time raises it
 	shedStepFirsts      = 50.0 // first attempts in a window below which these steps grow
 	maxShedStepMultiple = 5.0  // up to this many times
-	maxShedShare        = 0.9  // the rest shows when service is better
+	maxShedShare        = 0.9  // what is still sent shows when service is better
 
 	minRelativeWeight = 0.5 // bounds of a class's priority weight over the mean
 	maxRelativeWeight = 2
@@ -44,7 +44,7 @@
 
 // shed tells whether to reject a request before it is sent. In an overload servers
 // work on requests whose clients have left; rejecting the excess at once keeps the
-// rest on time. The higher a class's priority weight, the less of it is shed.
+// others on time. The higher a class's priority weight, the less of it is shed.
 func (b *Balancer) shed(r *request) bool {
 	if excess := b.quotaExcess(r); excess > 1 && b.servedShare < scarcityThreshold && b.rng.Float64() < 1-1/excess {
 		return true
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -32,9 +32,9 @@
 	perWarm, n := 0.0, float64(len(b.ready))
 	if warm := float64(b.countWarm(now)); warm > 0 {
 		perWarm = b.servedByWarm * min(maxReadyPerWarm, n/warm)
-		b.lastPerWarm, b.lastWarmCount = min(perWarm, 1), warm
+		b.previousPerWarm, b.previousWarmCount = min(perWarm, 1), warm
 	} else if !r.IsRetry {
-		perWarm = b.lastPerWarm * min(1, n/b.lastWarmCount)
+		perWarm = b.previousPerWarm * min(1, n/b.previousWarmCount)
 	}
 	s := b.ready[b.rng.IntN(len(b.ready))]
 	c := b.assuredCapacity(s, now)
--- a/balance/tenant_test.go
+++ b/balance/tenant_test.go
@@ -11,7 +11,7 @@
 func TestTenantOverItsShareGoesFirst(t *testing.T) {
 	for _, scarceNow := range []bool{true, false} {
 		set := testSettings()
-		set.OverQuotaWeight = 0.05
+		set.QuotaExcessWeight = 0.05
 		set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 		b, _ := New(set, 4)
 		b.Endpoints(0, ListCached, testServers(12), nil)
--- a/balance/tenants.go
+++ b/balance/tenants.go
@@ -30,10 +30,10 @@
 // quotaExcess counts a request for its tenant and returns how many times its fair
 // share of this balancer's traffic the tenant sends, against the others and their
 // quotas. While servers are scarce, requests above the share have little value and
-// displace the rest. Retries of clients are not counted.
+// displace those of others. Retries of clients are not counted.
 func (b *Balancer) quotaExcess(r *request) float64 {
 	at, known := b.tenantIndex[r.Tenant]
-	if !known || b.settings.OverQuotaWeight >= 1 {
+	if !known || b.settings.QuotaExcessWeight >= 1 {
 		return 1
 	}
 	if !r.IsRetry {
@@ -44,6 +44,6 @@
 	}
 	quota := b.settings.Tenants[at].Quota / b.quotaSum
 	own := b.tenantShares[at] + tenantPrior*quota
-	rest := 1 + tenantPrior - own
-	return own / quota * (1 - quota) / rest / quotaSlack
+	others := 1 + tenantPrior - own
+	return own / quota * (1 - quota) / others / quotaSlack
 }
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -178,7 +178,7 @@
 	{Name: "all-ejected", File: "balance/outlier.go", Breaks: "every server may be put out at a time",
 		Old: "> maxEjectedShare*float64(len(b.ready))", New: "> 2*float64(len(b.ready))"},
 	{Name: "no-trial", File: "balance/attempt.go", Breaks: "after an ejection all traffic returns at once",
-		Old: "s.trialInFlight = s.ejections > 0", New: "s.trialInFlight = false"},
+		Old: "target.trialInFlight = target.ejections > 0", New: "target.trialInFlight = false"},
 	{Name: "cold-tenfold", File: "balance/slowstart.go", Breaks: "cold servers get ten times their ration",
 		Old: "warmUpMargin      = 0.5 ", New: "warmUpMargin      = 5.0 "},
 	{Name: "drain-of-keys", File: "balance/pick.go", Breaks: "a draining server is used for its keys",
@@ -186,7 +186,7 @@
 	{Name: "left-out-stays", File: "balance/endpoints.go", Breaks: "a server that a whole list leaves out stays in use",
 		Old: "if s.generation != b.listGeneration {", New: "if s.generation > b.listGeneration {"},
 	{Name: "old-life", File: "balance/endpoints.go", Breaks: "what was learnt of a server outlives its restart",
-		Old: "} else if e.StartTime > s.StartTime {\n\t\ts.latencyRatio, s.evidence, s.ejectionState, s.idleSince = 0, 0, ejectionState{}, nil\n\t}", New: "}",
+		Old: "} else if entry.StartTime > known.StartTime {\n\t\tknown.latencyRatio, known.evidence, known.ejectionState, known.idleSince = 0, 0, ejectionState{}, nil\n\t}", New: "}",
 		Unseen: "a server that is back is held ejected for some seconds more, or slower than it is: within the noise of service, and no rule"},
 	{Name: "no-shedding", File: "balance/request.go", Breaks: "in an overload nothing is refused at once",
 		Old: "if b.shed(r) {", New: "if b.shed(r) && b.weightSum < 0 {"},
@@ -195,7 +195,7 @@
 	{Name: "no-hand-back", File: "balance/timers.go", Breaks: "the end of the service leaves requests without an answer",
 		Old: "(b.timers[0].due <= now || token == Shutdown)", New: "b.timers[0].due <= now"},
 	{Name: "cancels-forgotten", File: "balance/request.go", Breaks: "attempts that lost are not cancelled",
-		Old: "if a.number != keep && !a.ended && b.settings.CanCancel {", New: "if a.number > keep && a.ended && b.settings.CanCancel {"},
+		Old: "if a.number != except && !a.finished && b.settings.CanCancel {", New: "if a.number > except && a.finished && b.settings.CanCancel {"},
 
 	// What is harmless in one instance and harmful in hundreds.
 	{Name: "connections-unseen", File: "balance/connections.go", Breaks: "a key's requests go to its one home, whatever is connected",
@@ -217,7 +217,7 @@
 	{Name: "ration-undivided", File: "balance/slowstart.go", Breaks: "a cold server's ration is not divided by how many balancers there are",
 		Old: "perWarm = b.servedByWarm * min(maxReadyPerWarm, n/warm)", New: "perWarm = b.servedByWarm * maxReadyPerWarm * warm"},
 	{Name: "all-cold-unmeasured", File: "balance/slowstart.go", Breaks: "with no warm server what cold ones get is not held to a server's share",
-		Old: "perWarm = b.lastPerWarm * min(1, n/b.lastWarmCount)", New: "perWarm = b.lastPerWarm"},
+		Old: "perWarm = b.previousPerWarm * min(1, n/b.previousWarmCount)", New: "perWarm = b.previousPerWarm"},
 	{Name: "all-cold-again", File: "balance/slowstart.go", Breaks: "with no warm server repeats go to cold ones, too",
 		Old: "} else if !r.IsRetry {", New: "} else {"},
 	{Name: "requests-kept", File: "balance/request.go", Breaks: "answered requests are never forgotten",
@@ -346,7 +346,7 @@
 	{Name: "mask-of-all", File: "internal/unixsocket/unixsocket.go", Breaks: "files written while a socket is bound lose their bits",
 		Old: "\tlistener, err := config.Listen(", New: "\told := unix.Umask(0o177)\n\tdefer unix.Umask(old)\n\tlistener, err := config.Listen("},
 	{Name: "tenants-alike", File: "balance/tenants.go", Breaks: "a tenant above its part crowds the others out",
-		Old: "return own / quota * (1 - quota) / rest / quotaSlack", New: "return min(1, own/quota*(1-quota)/rest/quotaSlack)"},
+		Old: "return own / quota * (1 - quota) / others / quotaSlack", New: "return min(1, own/quota*(1-quota)/others/quotaSlack)"},
 
 	// CoAP.
 	{Name: "echo-unasked", File: "internal/coap/gate/gate.go", Breaks: "after a kill a repeated request that an earlier life ran runs again",
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/virtual/world.go
@@ -167,7 +167,7 @@
 	for _, t := range w.storm.Load.Tenants {
 		set.Tenants = append(set.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	set.OverQuotaWeight = c.OverShare
+	set.QuotaExcessWeight = c.OverShare
 	if w.opt.Settings != nil {
 		w.opt.Settings(&set)
 	}
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -54,7 +54,7 @@
 		line("known.endpoints", fmt.Sprint(n.ID, " ", n.Address, " ", n.Zone, " ", n.Cell, " ", int(n.State), " ", n.StartedMillis))
 	}
 	s := &c.Settings
-	line("settings.over-share-worth", s.OverQuotaWeight)
+	line("settings.over-share-worth", s.QuotaExcessWeight)
 	line("settings.extra.warm-keys", s.KeyAffinity)
 	line("settings.discovery is subscribe", s.Subscribe)
 	line("settings.round-us", s.CallInterval)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -30,7 +30,7 @@
 	}
 	limits, rules := v.Get("limits"), v.Get("rules")
 	s := balance.Settings{
-		OverQuotaWeight:        v.GetFloat64("over-share-worth"),
+		QuotaExcessWeight:      v.GetFloat64("over-share-worth"),
 		KeyAffinity:            v.GetBool("extra", "warm-keys"),
 		Subscribe:              string(v.GetStringBytes("discovery")) == "subscribe",
 		CallInterval:           micros(v, "round-us"),
