--- a/balance/lifecycle_test.go
+++ b/balance/lifecycle_test.go
@@ -11,21 +11,21 @@
 
 const ms = time.Millisecond
 
-// site returns settings like those of a mesh with one class of each effect.
-func site() Settings {
+// testSettings returns settings like those of a mesh with one class of each effect.
+func testSettings() Settings {
 	return Settings{
-		MaxAttempts: 3, CanCancel: true, CanCopy: true, Round: 2 * ms,
-		ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3,
+		MaxAttempts: 3, CanCancel: true, CanHedge: true, CallInterval: 2 * ms,
+		InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3,
 		Classes: []Class{
-			{Name: "read", Aim: 200 * ms, Deadline: 500 * ms, Worth: 1, LateWorth: 0.5, Effect: Repeat, Group: GroupAll},
-			{Name: "join", Aim: 300 * ms, Deadline: 900 * ms, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 400 * ms},
-			{Name: "record", Aim: 300 * ms, Deadline: 900 * ms, Worth: 2, LateWorth: 0.5, Effect: Once, Group: GroupAll},
+			{Name: "read", LatencyObjective: 200 * ms, Deadline: 500 * ms, PriorityWeight: 1, LatePriorityWeight: 0.5, Idempotency: Idempotent, DedupScope: ScopeAll},
+			{Name: "join", LatencyObjective: 300 * ms, Deadline: 900 * ms, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 400 * ms},
+			{Name: "record", LatencyObjective: 300 * ms, Deadline: 900 * ms, PriorityWeight: 2, LatePriorityWeight: 0.5, Idempotency: NonIdempotent, DedupScope: ScopeAll},
 		},
 	}
 }
 
-// fleet returns n ready servers in cells of three.
-func fleet(n int) []Server {
+// testServers returns n ready servers in cells of three.
+func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: fmt.Sprintf("s%d", i), Cell: i / 3, Zone: fmt.Sprint("z", i/6)}
@@ -43,21 +43,21 @@
 	return ""
 }
 
-// bed drives a Balancer and its timers, and checks the rules on each action.
-type bed struct {
-	t       testing.TB
-	b       *Balancer
-	now     time.Duration
-	timers  map[time.Duration]bool
-	log     []string
-	reqs    map[string]*seen
-	servers map[string]Server
-	drained map[string]time.Duration
-	broken  []string
+// harness drives a Balancer and its timers, and checks the rules on each action.
+type harness struct {
+	t          testing.TB
+	b          *Balancer
+	now        time.Duration
+	timers     map[time.Duration]bool
+	log        []string
+	reqs       map[string]*observedRequest
+	servers    map[string]Server
+	drained    map[string]time.Duration
+	violations []string
 }
 
-// seen is the checker's own record of a request.
-type seen struct {
+// observedRequest is the checker's own record of a request.
+type observedRequest struct {
 	class    Class
 	deadline time.Duration
 	sends    []Action
@@ -66,20 +66,21 @@
 	answered bool
 }
 
-func newBed(t testing.TB, set Settings, seed uint64) *bed {
+func newHarness(tb testing.TB, set Settings, seed uint64) *harness {
+	tb.Helper()
 	b, err := New(set, seed)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return &bed{t: t, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*seen{},
+	return &harness{t: tb, b: b, now: time.Minute, timers: map[time.Duration]bool{}, reqs: map[string]*observedRequest{},
 		servers: map[string]Server{}, drained: map[string]time.Duration{}}
 }
 
-func (d *bed) breaks(format string, args ...any) {
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
+func (d *harness) violate(format string, args ...any) {
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-func (d *bed) members(kind ListKind, list []Server) []Action {
+func (d *harness) members(kind ListKind, list []Server) {
 	for _, s := range list {
 		if s.State == Ready {
 			delete(d.drained, s.ID)
@@ -88,16 +89,16 @@
 		}
 		d.servers[s.ID] = s
 	}
-	return d.take(d.b.Members(d.now, kind, list, nil))
+	d.take(d.b.Endpoints(d.now, kind, list, nil))
 }
 
-func (d *bed) request(id string, class int) []Action {
-	c := d.b.set.Classes[class]
-	d.reqs[id] = &seen{class: c, deadline: d.now + c.Deadline}
+func (d *harness) request(id string, class int) []Action {
+	c := d.b.settings.Classes[class]
+	d.reqs[id] = &observedRequest{class: c, deadline: d.now + c.Deadline}
 	return d.take(d.b.Request(d.now, Request{ID: id, Class: c.Name, Key: "k" + id, Deadline: d.now + c.Deadline}, nil))
 }
 
-func (d *bed) outcome(id string, number int, status Status) []Action {
+func (d *harness) outcome(id string, number int, status Status) []Action {
 	q := d.reqs[id]
 	q.status[number] = status
 	final := status == OK || q.answered
@@ -109,7 +110,7 @@
 }
 
 // take checks actions and books them.
-func (d *bed) take(acts []Action) []Action {
+func (d *harness) take(acts []Action) []Action {
 	for _, a := range acts {
 		d.log = append(d.log, fmt.Sprint(d.now, a))
 		switch a.Kind {
@@ -117,57 +118,57 @@
 			d.timers[d.now+a.Wait] = true
 		case Send:
 			d.checkSend(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			q := d.reqs[a.Request]
 			if q.answered {
-				d.breaks("rule 1: %s answered twice", a.Request)
+				d.violate("rule 1: %s answered twice", a.Request)
 			}
 			q.answered = true
-			if a.Kind == Refuse && q.class.Effect != Repeat && d.anchor(q) >= 0 &&
-				!(q.class.Effect == Keyed && q.class.Group == GroupAll) {
-				d.breaks("rule 2: %s refused though it may have run", a.Request)
+			if a.Kind == Reject && q.class.Idempotency != Idempotent && d.anchor(q) >= 0 &&
+				(q.class.Idempotency != IdempotentWithKey || q.class.DedupScope != ScopeAll) {
+				d.violate("rule 2: %s refused though it may have run", a.Request)
 			}
 		}
 	}
 	return acts
 }
 
-// anchor is the first attempt that may have run, -1 for none.
-func (d *bed) anchor(q *seen) int {
+// maybeExecuted is the first attempt that may have run, -1 for none.
+func (d *harness) anchor(q *observedRequest) int {
 	for i, s := range q.status {
-		if s < 0 || !s.harmless() {
+		if s < 0 || !s.provablyNotExecuted() {
 			return i
 		}
 	}
 	return -1
 }
 
-func (d *bed) checkSend(a Action) {
+func (d *harness) checkSend(a Action) {
 	q := d.reqs[a.Request]
 	if q.answered {
-		d.breaks("rule 1: %s sent after its answer", a.Request)
+		d.violate("rule 1: %s sent after its answer", a.Request)
 	}
 	if first := d.anchor(q); first >= 0 {
-		switch q.class.Effect {
-		case Once:
-			d.breaks("rule 2: %s sent again", a.Request)
-		case Keyed:
-			if d.now >= q.at[first]+q.class.Window || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
-				d.breaks("rule 2: %s sent outside its group", a.Request)
+		switch q.class.Idempotency {
+		case NonIdempotent:
+			d.violate("rule 2: %s sent again", a.Request)
+		case IdempotentWithKey:
+			if d.now >= q.at[first]+q.class.DedupWindow || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
+				d.violate("rule 2: %s sent outside its group", a.Request)
 			}
 		}
 	}
 	if since, ok := d.drained[a.Server]; ok && d.now > since {
-		d.breaks("rule 3: %s sent to drained %s", a.Request, a.Server)
+		d.violate("rule 3: %s sent to drained %s", a.Request, a.Server)
 	}
-	if len(q.sends) >= d.b.set.MaxAttempts {
-		d.breaks("%s over its attempt limit", a.Request)
+	if len(q.sends) >= d.b.settings.MaxAttempts {
+		d.violate("%s over its attempt limit", a.Request)
 	}
 	q.sends, q.status, q.at = append(q.sends, a), append(q.status, -1), append(q.at, d.now)
 }
 
 // step moves the clock and fires what is due.
-func (d *bed) step(by time.Duration) {
+func (d *harness) step(by time.Duration) {
 	d.now += by
 	for due := d.nextDue(); due > 0; due = d.nextDue() {
 		delete(d.timers, due)
@@ -175,13 +176,13 @@
 	}
 	for id, q := range d.reqs {
 		if !q.answered && d.now > q.deadline+by {
-			d.breaks("rule 1: %s not answered in time", id)
+			d.violate("rule 1: %s not answered in time", id)
 			q.answered = true
 		}
 	}
 }
 
-func (d *bed) nextDue() time.Duration {
+func (d *harness) nextDue() time.Duration {
 	least := time.Duration(0)
 	for at := range d.timers {
 		if at <= d.now && (least == 0 || at < least) {
@@ -192,10 +193,11 @@
 }
 
 // play runs a random but legal day and returns its bed.
-func play(t testing.TB, seed uint64, ticks int) *bed {
-	d := newBed(t, site(), seed)
+func play(tb testing.TB, seed uint64, ticks int) *harness {
+	tb.Helper()
+	d := newHarness(tb, testSettings(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
-	d.members(ListSaved, fleet(12))
+	d.members(ListCached, testServers(12))
 	var open []string
 	for tick := range ticks {
 		d.step(2 * ms)
@@ -208,9 +210,9 @@
 			s := d.servers[fmt.Sprintf("s%d", rng.IntN(12))]
 			s.State = ServerState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.Started = d.now - 3*time.Second
+				s.StartTime = d.now - 3*time.Second
 			}
-			d.members(ListChange, []Server{s})
+			d.members(ListDelta, []Server{s})
 		}
 		for _, id := range open {
 			q := d.reqs[id]
@@ -218,7 +220,7 @@
 				if q.status[n] >= 0 || rng.IntN(25) > 0 {
 					continue
 				}
-				d.outcome(id, n, []Status{OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[rng.IntN(8)])
+				d.outcome(id, n, []Status{OK, OK, OK, Error, AtCapacity, Timeout, ConnectFailed, Reset}[rng.IntN(8)])
 			}
 		}
 		if len(open) > 60 {
@@ -231,7 +233,7 @@
 func TestRandomDaysKeepTheRules(t *testing.T) {
 	for seed := range uint64(8) {
 		d := play(t, seed+1, 6000)
-		for _, what := range d.broken {
+		for _, what := range d.violations {
 			t.Errorf("seed %d: %s", seed+1, what)
 		}
 		retried := 0
@@ -247,13 +249,13 @@
 }
 
 func TestCheckerCatchesPlantedBreaches(t *testing.T) {
-	d := newBed(t, site(), 1)
-	d.members(ListSaved, fleet(12))
+	d := newHarness(t, testSettings(), 1)
+	d.members(ListCached, testServers(12))
 	d.request("a", 2)
-	d.take([]Action{{Kind: Send, Request: "a", Server: "s1"}, {Kind: Refuse, Request: "a"}, {Kind: Fail, Request: "a"},
+	d.take([]Action{{Kind: Send, Request: "a", Server: "s1"}, {Kind: Reject, Request: "a"}, {Kind: Fail, Request: "a"},
 		{Kind: Send, Request: "a", Server: "s2"}})
-	if len(d.broken) < 4 {
-		t.Errorf("planted breaches found: %q", d.broken)
+	if len(d.violations) < 4 {
+		t.Errorf("planted breaches found: %q", d.violations)
 	}
 }
 
@@ -270,14 +272,14 @@
 		resent bool
 		final  ActionKind // where not resent
 	}{
-		{0, Timeout, true, 0}, {0, Full, true, 0}, {0, Error, true, 0},
-		{1, Full, true, 0}, {1, ConnectFailed, true, 0}, {1, Reset, true, 0},
-		{2, Full, true, 0}, {2, ConnectFailed, true, 0},
+		{0, Timeout, true, 0}, {0, AtCapacity, true, 0}, {0, Error, true, 0},
+		{1, AtCapacity, true, 0}, {1, ConnectFailed, true, 0}, {1, Reset, true, 0},
+		{2, AtCapacity, true, 0}, {2, ConnectFailed, true, 0},
 		{2, Timeout, false, Fail}, {2, Reset, false, Fail}, {2, Error, false, Fail}, {2, Cancelled, false, Fail},
 	}
 	for _, tc := range tests {
-		d := newBed(t, site(), 3)
-		d.members(ListSaved, fleet(12))
+		d := newHarness(t, testSettings(), 3)
+		d.members(ListCached, testServers(12))
 		d.request("a", tc.class)
 		d.step(10 * ms)
 		acts := d.outcome("a", 0, tc.status)
@@ -299,8 +301,8 @@
 
 // A request of a class not announced must be treated as the most careful kind.
 func TestUnknownClassRunsOnce(t *testing.T) {
-	b, _ := New(site(), 1)
-	b.Members(0, ListSaved, fleet(3), nil)
+	b, _ := New(testSettings(), 1)
+	b.Endpoints(0, ListCached, testServers(3), nil)
 	b.Request(0, Request{ID: "x", Class: "?", Deadline: time.Second}, nil)
 	acts := b.Outcome(ms, Outcome{Request: "x", Status: Timeout, Took: ms}, nil)
 	if len(acts) == 0 || acts[0].Kind != Fail {
@@ -310,17 +312,17 @@
 
 // A drain is obeyed by a retry that already waits in its pause.
 func TestPausedRetryObeysDrain(t *testing.T) {
-	d := newBed(t, site(), 1)
-	d.members(ListSaved, fleet(2))
+	d := newHarness(t, testSettings(), 1)
+	d.members(ListCached, testServers(2))
 	d.request("a", 0)
 	d.step(2 * ms)
-	d.outcome("a", 0, Full)
-	list := fleet(2)
+	d.outcome("a", 0, AtCapacity)
+	list := testServers(2)
 	list[0].State, list[1].State = Draining, Draining
-	d.members(ListChange, list)
+	d.members(ListDelta, list)
 	d.step(500 * ms)
-	if len(d.broken) > 0 || len(d.reqs["a"].sends) != 1 || !d.reqs["a"].answered {
-		t.Errorf("broken %q, sends %v, answered %v", d.broken, d.reqs["a"].sends, d.reqs["a"].answered)
+	if len(d.violations) > 0 || len(d.reqs["a"].sends) != 1 || !d.reqs["a"].answered {
+		t.Errorf("broken %q, sends %v, answered %v", d.violations, d.reqs["a"].sends, d.reqs["a"].answered)
 	}
 }
 
@@ -329,11 +331,11 @@
 	const balancers, servers, rounds = 200, 20, 40
 	sent, total := 0, 0
 	for i := range uint64(balancers) {
-		b, _ := New(site(), i+1)
-		list := fleet(servers)
+		b, _ := New(testSettings(), i+1)
+		list := testServers(servers)
 		now := time.Minute
-		list[7].Started = now
-		b.Members(now, ListSaved, list, nil)
+		list[7].StartTime = now
+		b.Endpoints(now, ListCached, list, nil)
 		for n := range rounds {
 			now += 50 * ms
 			id := fmt.Sprint(n)
@@ -349,7 +351,7 @@
 		}
 	}
 	even := float64(total) / servers
-	most := site().TipMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
+	most := testSettings().WarmUpOverloadMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
 	if float64(sent) > most*0.6 || sent == 0 {
 		t.Errorf("cold server got %d of %d attempts, want some but at most %.0f", sent, total, most*0.6)
 	}
@@ -358,14 +360,14 @@
 // In an overload where answers come late, a share is refused at once (incident
 // i0a7fe6); where servers turn work away instead, nothing is refused early.
 func TestShedsOnLateAnswersOnly(t *testing.T) {
-	for _, status := range []Status{OK, Full} {
-		d := newBed(t, site(), 2)
-		d.members(ListSaved, fleet(12))
+	for _, status := range []Status{OK, AtCapacity} {
+		d := newHarness(t, testSettings(), 2)
+		d.members(ListCached, testServers(12))
 		early := 0
 		for n := range 200 {
 			id := fmt.Sprint(n)
 			acts := d.request(id, 0)
-			if acts[0].Kind == Refuse {
+			if acts[0].Kind == Reject {
 				early++
 				continue
 			}
@@ -373,7 +375,7 @@
 				d.step(20 * ms)
 				q := d.reqs[id]
 				last := len(q.sends) - 1
-				if q.status[last] < 0 && (status == Full || d.now >= q.at[last]+300*ms) {
+				if q.status[last] < 0 && (status == AtCapacity || d.now >= q.at[last]+300*ms) {
 					d.outcome(id, last, status)
 				}
 			}
@@ -386,18 +388,18 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	tests := map[string]func(*Settings){
-		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Name":        func(s *Settings) { s.Classes[1].Name = "read" },
-		"Deadline":    func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"Effect":      func(s *Settings) { s.Classes[0].Effect = -1 },
-		"Group":       func(s *Settings) { s.Classes[0].Group = 9 },
-		"ColdShare":   func(s *Settings) { s.ColdShare = 1.5 },
-		"ColdTime":    func(s *Settings) { s.ColdTime = -1 },
-		"Window":      func(s *Settings) { s.Classes[0].Window = -1 },
+		"Classes":         func(s *Settings) { s.Classes = nil },
+		"Name":            func(s *Settings) { s.Classes[1].Name = "read" },
+		"Deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"MaxAttempts":     func(s *Settings) { s.MaxAttempts = 0 },
+		"Idempotency":     func(s *Settings) { s.Classes[0].Idempotency = -1 },
+		"DedupScope":      func(s *Settings) { s.Classes[0].DedupScope = 9 },
+		"InitialCapacity": func(s *Settings) { s.InitialCapacity = 1.5 },
+		"WarmUpTime":      func(s *Settings) { s.WarmUpTime = -1 },
+		"DedupWindow":     func(s *Settings) { s.Classes[0].DedupWindow = -1 },
 	}
 	for field, spoil := range tests {
-		s := site()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s spoilt: error %v", field, err)
@@ -406,20 +408,20 @@
 }
 
 func TestStrayEventsAreIgnored(t *testing.T) {
-	b, _ := New(site(), 1)
+	b, _ := New(testSettings(), 1)
 	acts := b.Outcome(0, Outcome{Request: "?", Number: -3}, nil)
 	acts = b.Timer(0, 99, acts)
-	acts = b.Left(0, "?", acts)
+	acts = b.Disconnected(0, "?", acts)
 	acts = b.Started(0, "?", 4, acts)
-	acts = b.Members(0, ListFull, nil, acts)
+	acts = b.Endpoints(0, ListFull, nil, acts)
 	if len(acts) != 0 {
 		t.Errorf("stray events led to %v", acts)
 	}
 }
 
 func BenchmarkDecision(bm *testing.B) {
-	b, _ := New(site(), 1)
-	b.Members(0, ListSaved, fleet(400), nil)
+	b, _ := New(testSettings(), 1)
+	b.Endpoints(0, ListCached, testServers(400), nil)
 	now := time.Second
 	var acts []Action
 	for i := 0; bm.Loop(); i++ {
@@ -432,14 +434,14 @@
 
 func ExampleBalancer() {
 	b, err := New(Settings{
-		MaxAttempts: 3, ColdShare: 0.2, ColdTime: 20 * time.Second, TipMultiple: 3,
-		Classes: []Class{{Name: "read", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Effect: Repeat}},
+		MaxAttempts: 3, InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3,
+		Classes: []Class{{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: Idempotent}},
 	}, 1)
 	if err != nil {
 		panic(err)
 	}
 	now := 5 * time.Second // any clock that only moves on
-	b.Members(now, ListFull, []Server{{ID: "10.0.0.1:80"}}, nil)
+	b.Endpoints(now, ListFull, []Server{{ID: "10.0.0.1:80"}}, nil)
 	for _, a := range b.Request(now, Request{ID: "r1", Class: "read", Deadline: now + time.Second}, nil) {
 		if a.Kind == Send {
 			fmt.Println("send", a.Request, "to", a.Server)
@@ -453,30 +455,30 @@
 // without anything to measure it by. Without a warm one to go by, nothing was
 // sent at all until the first was warm.
 func TestAllServersCold(t *testing.T) {
-	set := site()
-	set.CanCopy, set.ColdShare, set.ColdTime, set.TipMultiple = false, 0.2, 20*time.Second, 3
+	set := testSettings()
+	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ := New(set, 4)
-	list := fleet(8)
-	b.Members(time.Second, ListFull, list, nil)
+	list := testServers(8)
+	b.Endpoints(time.Second, ListFull, list, nil)
 	now, n := time.Minute, 0
 	ask := func(again bool) bool {
 		n++
 		now += 5 * ms
 		id := fmt.Sprint(n)
-		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms, Again: again}, nil))
+		to := sentTo(b.Request(now, Request{ID: id, Class: "read", Deadline: now + 500*ms, IsRetry: again}, nil))
 		if to != "" {
 			b.Outcome(now+ms, Outcome{Request: id, Status: OK, Took: ms, Final: true}, nil)
 		}
-		b.Left(now+ms, id, nil)
+		b.Disconnected(now+ms, id, nil)
 		return to != ""
 	}
 	for range 400 {
 		ask(false)
 	}
 	for i := range list {
-		list[i].Started = now
+		list[i].StartTime = now
 	}
-	b.Members(now, ListChange, list, nil)
+	b.Endpoints(now, ListDelta, list, nil)
 	first, again := 0, 0
 	for range 400 {
 		if ask(false) {
@@ -494,13 +496,12 @@
 
 // coldFleet is a balancer whose eight servers were warm, and how to ask it: the
 // server that a request was sent to, and served by, if any.
-func coldFleet(t *testing.T) (b *Balancer, list []Server, now *time.Duration, ask func() string) {
+func coldFleet(t *testing.T) (b *Balancer, now *time.Duration, ask func() string) {
 	t.Helper()
-	set := site()
-	set.CanCopy, set.ColdShare, set.ColdTime, set.TipMultiple = false, 0.2, 20*time.Second, 3
+	set := testSettings()
+	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ = New(set, 4)
-	list = fleet(8)
-	b.Members(time.Second, ListFull, list, nil)
+	b.Endpoints(time.Second, ListFull, testServers(8), nil)
 	now, n := new(time.Duration), 0
 	*now = time.Minute
 	ask = func() string {
@@ -511,27 +512,28 @@
 		if to != "" {
 			b.Outcome(*now+ms, Outcome{Request: id, Status: OK, Took: ms, Final: true}, nil)
 		}
-		b.Left(*now+ms, id, nil)
+		b.Disconnected(*now+ms, id, nil)
 		return to
 	}
 	for range 400 {
 		ask()
 	}
-	return b, list, now, ask
+	return b, now, ask
 }
 
 // The first server of a fleet that is back alone gets what one of eight did, not
 // what all did.
 func TestFirstColdServerBackAlone(t *testing.T) {
-	b, list, now, ask := coldFleet(t)
+	b, now, ask := coldFleet(t)
+	list := testServers(8)
 	gone := append([]Server(nil), list...)
 	for i := range gone {
-		gone[i].State = Gone
+		gone[i].State = Removed
 	}
-	b.Members(*now, ListChange, gone, nil)
+	b.Endpoints(*now, ListDelta, gone, nil)
 	*now += time.Second
-	list[0].Started = *now
-	b.Members(*now, ListChange, list[:1], nil)
+	list[0].StartTime = *now
+	b.Endpoints(*now, ListDelta, list[:1], nil)
 	sent := 0
 	for range 400 {
 		if ask() != "" {
