--- a/internal/sidecar/coapserver/request.go
+++ b/internal/sidecar/coapserver/request.go
@@ -77,7 +77,7 @@
 	}
 	body := r.call.Body
 	if !s.dispatcher.Submit(&r.call, balance.Request{
-		ID: r.call.ID, Class: received.Class, Tenant: received.Tenant, Key: received.Key, Again: received.Again, Deadline: received.Deadline,
+		ID: r.call.ID, Class: received.Class, Tenant: received.Tenant, Key: received.Key, IsRetry: received.Again, Deadline: received.Deadline,
 	}) {
 		body.Release()
 		s.answer(r, server.Answer{Outcome: server.Conflicting})
@@ -108,7 +108,7 @@
 // answerOf returns the dispatcher's result as an answer. It releases the response.
 func answerOf(result *dispatch.Result) server.Answer {
 	switch result.Kind {
-	case balance.Refuse:
+	case balance.Reject:
 		return server.Answer{Outcome: server.Refused, Wait: result.RetryAfter}
 	case balance.Fail:
 		return server.Answer{Outcome: server.Failed}
--- a/internal/sidecar/coapserver/settings.go
+++ b/internal/sidecar/coapserver/settings.go
@@ -67,10 +67,10 @@
 func SettingsFromOperator(operator *operatorconfig.CoAP, classes []balance.Class, maxDeadlineRatio float64, seed uint64, bodies *dispatch.Budget) Settings {
 	key := make([]byte, echoKeyBytes)
 	rand.Read(key) // never fails
-	effects := map[balance.Effect]server.Effect{balance.Repeat: server.Repeat, balance.Keyed: server.Keyed, balance.Once: server.Once}
+	effects := map[balance.Idempotency]server.Effect{balance.Idempotent: server.Repeat, balance.IdempotentWithKey: server.Keyed, balance.NonIdempotent: server.Once}
 	protocolClasses := map[string]server.Class{}
 	for _, class := range classes {
-		protocolClasses[class.Name] = server.Class{Effect: effects[class.Effect], Deadline: class.Deadline}
+		protocolClasses[class.Name] = server.Class{Effect: effects[class.Idempotency], Deadline: class.Deadline}
 	}
 	var trusted []netip.Prefix
 	for _, network := range operator.TrustedNetworks {
--- a/internal/sidecar/coapupstream/pool.go
+++ b/internal/sidecar/coapupstream/pool.go
@@ -137,7 +137,7 @@
 	case client.Served:
 		return balance.OK, newResponse(result)
 	case client.TurnedAway:
-		return balance.Full, nil
+		return balance.AtCapacity, nil
 	case client.NotThere:
 		return balance.ConnectFailed, nil
 	case client.Erred:
--- a/internal/sidecar/coapupstream/pool_test.go
+++ b/internal/sidecar/coapupstream/pool_test.go
@@ -76,8 +76,8 @@
 func submit(t *testing.T, pool *Pool, deadline time.Duration, addrs ...string) balance.ActionKind {
 	t.Helper()
 	dispatcher, err := dispatch.New(dispatch.Settings{
-		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, ColdShare: 0.12, ColdTime: 23 * time.Second, TipMultiple: 3, Round: 2 * time.Millisecond,
-			Classes: []balance.Class{{Name: "act", Aim: deadline, Deadline: deadline, Worth: 1, Effect: balance.Once}}},
+		Balance: balance.Settings{MaxAttempts: 2, CanCancel: true, InitialCapacity: 0.12, WarmUpTime: 23 * time.Second, WarmUpOverloadMultiple: 3, CallInterval: 2 * time.Millisecond,
+			Classes: []balance.Class{{Name: "act", LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, Idempotency: balance.NonIdempotent}}},
 		Seed: 1, DialTimeout: time.Second, OpenUpstream: pool.Open,
 	}, func() {})
 	if err != nil {
@@ -139,7 +139,7 @@
 		received   int64 // at most
 	}{
 		"good":            {good, balance.Send, 1},
-		"rejects all":     {reset, balance.Refuse, 4},
+		"rejects all":     {reset, balance.Reject, 4},
 		"silent":          {func(*message.Message) [][]byte { return nil }, balance.Fail, 1},
 		"noise":           {noise, balance.Fail, 1},
 		"noise, then one": {func(m *message.Message) [][]byte { return append(noise(m), answer(m, message.Changed)) }, balance.Send, 1},
@@ -164,14 +164,14 @@
 	}
 	t.Run("nobody there", func(t *testing.T) {
 		t.Parallel()
-		if got := submit(t, newPool(8), 2*time.Second, unused); got != balance.Refuse {
+		if got := submit(t, newPool(8), 2*time.Second, unused); got != balance.Reject {
 			t.Errorf("ended as %v, want a refusal", got)
 		}
 	})
 	t.Run("no socket left", func(t *testing.T) {
 		t.Parallel()
 		one, received := server(t, good)
-		if got := submit(t, newPool(0), 2*time.Second, one); got != balance.Refuse || received.Load() != 0 {
+		if got := submit(t, newPool(0), 2*time.Second, one); got != balance.Reject || received.Load() != 0 {
 			t.Errorf("ended as %v with %d datagrams", got, received.Load())
 		}
 	})
