--- a/cmd/rig/storm.go
+++ b/cmd/rig/storm.go
@@ -86,7 +86,7 @@
 
 // run makes the runs and prints a line each, and the sums as the last.
 func (o *stormFlags) run(ctx context.Context, out io.Writer) error {
-	points, err := o.points(out)
+	points, err := o.points()
 	if err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 
 // points are all runs to make; a file with a fault is a usage error, each fault
 // a line.
-func (o *stormFlags) points(out io.Writer) ([]point, error) {
+func (o *stormFlags) points() ([]point, error) {
 	engines := []string{o.engine}
 	if o.engine == "both" {
 		engines = []string{"virtual", "sockets"}
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return "", err
 		}
-		box.Color, box.LineStyle.Width = shade, 0
+		box.Color, box.Width = shade, 0
 		p.Add(box)
 		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: m.From, Y: top * (0.94 - 0.065*float64(i%5))}}, Labels: []string{m.Kind}})
 		if err != nil {
--- a/internal/lab/report/timeline.go
+++ b/internal/lab/report/timeline.go
@@ -173,7 +173,7 @@
 				if err != nil {
 					return "", err
 				}
-				box.Color, box.LineStyle.Width = lineColors[kind], 0
+				box.Color, box.Width = lineColors[kind], 0
 				p.Add(box)
 				if kind == disturbed {
 					t, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: b.from, Y: y - 0.15}}, Labels: []string{b.text}})
--- a/internal/lab/standin/callserver/callserver.go
+++ b/internal/lab/standin/callserver/callserver.go
@@ -212,11 +212,13 @@
 	return nil
 }
 
-// Name, Addr, Life and Since are what discovery tells of the server.
+// Name is the server's name in the endpoint list.
 func (s *Server) Name() string { return s.cfg.Name }
 
-// Group is the number of its pod, Zone its zone.
-func (s *Server) Group() int   { return s.cfg.Group }
+// Group is the number of its pod.
+func (s *Server) Group() int { return s.cfg.Group }
+
+// Zone is the name of its zone.
 func (s *Server) Zone() string { return s.cfg.Zone }
 
 // Addr is where it listens in its present life.
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Duplicates is how many repeats over CoAP this life has met.
+// DedupHits is how many duplicates over CoAP have arrived since the server's start.
 func (s *Server) DedupHits() int {
 	s.mu.Lock()
 	c := s.coap
--- a/internal/lab/standin/clients/coap.go
+++ b/internal/lab/standin/clients/coap.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Retransmissions is how many datagrams were sent again by clients over CoAP.
+// Retransmits is how many datagrams clients have retransmitted over CoAP.
 func (c *Clients) Retransmits() int {
 	n := 0
 	for _, d := range c.devices {
