--- a/balance/full_test.go
+++ b/balance/atcapacity_test.go
@@ -8,7 +8,7 @@
 
 // A server that turns all away answers fast and never has anything in flight:
 // it must not draw the traffic from one that is at work.
-func TestServerThatTurnsAllAwayIsOut(t *testing.T) {
+func TestServerThatRejectsEverythingIsEjected(t *testing.T) {
 	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 5)
--- a/balance/usual_test.go
+++ b/balance/baseline_test.go
@@ -8,7 +8,7 @@
 
 // Where one attempt in ten is reset at all servers alike, hardly a healthy one
 // is put out; one that dies in the middle of it soon is.
-func TestUsualFailuresDoNotEject(t *testing.T) {
+func TestBaselineFailuresDoNotEject(t *testing.T) {
 	set := testSettings()
 	set.CanHedge = false
 	b, _ := New(set, 3)
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPauseGrowsWithJitter(t *testing.T) {
+func TestBackoffGrowsWithJitter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[time.Duration]bool{}
 	for n := range 5 {
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -26,7 +26,7 @@
 }
 
 // BenchmarkServerRestart is what it costs to be told of one server's restart: it
-// drains, leaves and comes back cold, each in a list of its own. No request is decided
+// drains, leaves and comes back in warm-up, each in a list of its own. No request is decided
 // on meanwhile. The three steps are reported each by itself.
 func BenchmarkServerRestart(b *testing.B) {
 	steps := []struct {
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A connection refused is answered by letting go of the idle connections that
+// A connection refused is answered by closing the idle connections that
 // were unused for longest, never of one in use (i927b8b).
-func TestRefusedConnectionLetsAnUnusedOneGo(t *testing.T) {
+func TestRefusedConnectionClosesAnIdleOne(t *testing.T) {
 	set := testSettings()
 	set.CanHedge, set.IdleTimeout = false, 4*time.Second
 	b, _ := New(set, 8)
@@ -37,13 +37,13 @@
 			if a.Kind == CloseIdle {
 				closed[a.Server] = true
 				if a.Server == held {
-					t.Errorf("let go of %s, which has an attempt out", held)
+					t.Errorf("closed those to %s, which has an attempt in flight", held)
 				}
 			}
 		}
 		b.Disconnected(now, id, nil)
 	}
 	if len(closed) < 3 {
-		t.Errorf("30 refused connections let go of %v", closed)
+		t.Errorf("30 refused connections closed %v", closed)
 	}
 }
--- a/balance/churn_test.go
+++ b/balance/endpoints_test.go
@@ -7,8 +7,8 @@
 )
 
 // What is kept of servers that have gone must go with them, however many come
-// and go and whether or not one of them ever refuses a connection.
-func TestGoneServersAreForgotten(t *testing.T) {
+// and go and whether or not one of them ever rejects a connection.
+func TestRemovedServersAreDropped(t *testing.T) {
 	b, _ := New(testSettings(), 3)
 	now := time.Minute
 	for round := range 200 {
--- a/balance/links_test.go
+++ b/balance/keyconnections_test.go
@@ -36,7 +36,7 @@
 
 // A quiet balancer on a large list keeps to servers that it holds a connection
 // to; without that two in three of its requests open one.
-func TestQuietBalancerUsesTheConnectionsThatItHolds(t *testing.T) {
+func TestQuietBalancerUsesItsIdleConnections(t *testing.T) {
 	with, without := connectionsPerRequest(t, 4500*ms, 180, 14), connectionsPerRequest(t, 0, 180, 14)
 	if with > 0.25 || without < 0.5 {
 		t.Errorf("connections opened a request: %.2f, and %.2f where no idle time is told; want 0.25 at most against 0.5 at least", with, without)
@@ -65,7 +65,7 @@
 
 // The connection counts until it is too old, in use, let go of, or its server
 // has started anew.
-func TestAnIdleConnectionCountsWhileItIsHeld(t *testing.T) {
+func TestIdleConnectionCountsUntilItExpires(t *testing.T) {
 	soon := time.Minute + time.Second
 	_, other, ask := balancerWithIdleConnection(t)
 	if to := ask(soon); to != other {
@@ -96,9 +96,8 @@
 	}
 }
 
-// A connection is worth nothing to a request whose server answers much slower
-// than its like.
-func TestAConnectionToASlowServerIsPassedOver(t *testing.T) {
+// A connection has no value if its server responds much slower than the others.
+func TestConnectionToASlowServerIsNotUsed(t *testing.T) {
 	b, other, ask := balancerWithIdleConnection(t)
 	now := time.Minute + 100*ms
 	s := b.serversByID[other]
@@ -112,7 +111,7 @@
 
 // The server with a connection draws its part of the keys, not all of them: a
 // key keeps to a few servers, which hold what it needs.
-func TestAConnectionDrawsItsPartOfTheKeys(t *testing.T) {
+func TestConnectionAttractsItsShareOfKeys(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity, set.CanHedge, set.IdleTimeout = true, false, 4*time.Second
 	drawn := 0
@@ -133,7 +132,7 @@
 
 // What is let go of is a connection that is there: one that has ended of old age
 // makes no room.
-func TestLettingGoPassesOverWhatHasEnded(t *testing.T) {
+func TestClosingIdleConnectionsSkipsExpiredOnes(t *testing.T) {
 	b, ended, _ := balancerWithIdleConnection(t)
 	now := time.Minute + 10*time.Second
 	for _, s := range b.servers {
--- a/balance/lifecycle_test.go
+++ b/balance/lifecycle_test.go
@@ -121,12 +121,12 @@
 		case Reject, Fail:
 			q := d.reqs[a.Request]
 			if q.answered {
-				d.violate("rule 1: %s answered twice", a.Request)
+				d.violate("answers: %s answered twice", a.Request)
 			}
 			q.answered = true
 			if a.Kind == Reject && q.class.Idempotency != Idempotent && d.anchor(q) >= 0 &&
 				(q.class.Idempotency != IdempotentWithKey || q.class.DedupScope != ScopeAll) {
-				d.violate("rule 2: %s refused though it may have run", a.Request)
+				d.violate("idempotency: %s rejected though it may have been executed", a.Request)
 			}
 		}
 	}
@@ -146,20 +146,20 @@
 func (d *harness) checkSend(a Action) {
 	q := d.reqs[a.Request]
 	if q.answered {
-		d.violate("rule 1: %s sent after its answer", a.Request)
+		d.violate("answers: %s sent after its answer", a.Request)
 	}
 	if first := d.anchor(q); first >= 0 {
 		switch q.class.Idempotency {
 		case NonIdempotent:
-			d.violate("rule 2: %s sent again", a.Request)
+			d.violate("idempotency: %s sent again", a.Request)
 		case IdempotentWithKey:
 			if d.now >= q.at[first]+q.class.DedupWindow || d.servers[a.Server].Cell != d.servers[q.sends[first].Server].Cell {
-				d.violate("rule 2: %s sent outside its group", a.Request)
+				d.violate("idempotency: %s sent outside its group", a.Request)
 			}
 		}
 	}
 	if since, ok := d.drained[a.Server]; ok && d.now > since {
-		d.violate("rule 3: %s sent to drained %s", a.Request, a.Server)
+		d.violate("drain: %s sent to drained %s", a.Request, a.Server)
 	}
 	if len(q.sends) >= d.b.settings.MaxAttempts {
 		d.violate("%s over its attempt limit", a.Request)
@@ -176,7 +176,7 @@
 	}
 	for id, q := range d.reqs {
 		if !q.answered && d.now > q.deadline+by {
-			d.violate("rule 1: %s not answered in time", id)
+			d.violate("answers: %s not answered in time", id)
 			q.answered = true
 		}
 	}
@@ -230,7 +230,7 @@
 	return d
 }
 
-func TestRandomDaysKeepTheRules(t *testing.T) {
+func TestRandomRunsKeepTheRules(t *testing.T) {
 	for seed := range uint64(8) {
 		d := play(t, seed+1, 6000)
 		for _, what := range d.violations {
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestCheckerCatchesPlantedBreaches(t *testing.T) {
+func TestCheckerNoticesViolations(t *testing.T) {
 	d := newHarness(t, testSettings(), 1)
 	d.members(ListCached, testServers(12))
 	d.request("a", 2)
@@ -300,7 +300,7 @@
 }
 
 // A request of a class not announced must be treated as the most careful kind.
-func TestUnknownClassRunsOnce(t *testing.T) {
+func TestUnknownClassIsNonIdempotent(t *testing.T) {
 	b, _ := New(testSettings(), 1)
 	b.Endpoints(0, ListCached, testServers(3), nil)
 	b.Request(0, Request{ID: "x", Class: "?", Deadline: time.Second}, nil)
@@ -311,7 +311,7 @@
 }
 
 // A drain is obeyed by a retry that already waits in its pause.
-func TestPausedRetryObeysDrain(t *testing.T) {
+func TestRetryInBackoffObeysDrain(t *testing.T) {
 	d := newHarness(t, testSettings(), 1)
 	d.members(ListCached, testServers(2))
 	d.request("a", 0)
@@ -326,8 +326,8 @@
 	}
 }
 
-// Many quiet balancers together must stay under what a cold server can take.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+// Many quiet balancers together must stay under what a server in warm-up can take.
+func TestServerInWarmUpIsNotOverloaded(t *testing.T) {
 	const balancers, servers, rounds = 200, 20, 40
 	sent, total := 0, 0
 	for i := range uint64(balancers) {
@@ -353,13 +353,13 @@
 	even := float64(total) / servers
 	most := testSettings().WarmUpOverloadMultiple * 0.3 * even // certain capacity after 2 s is 0.28 of an even split at full load
 	if float64(sent) > most*0.6 || sent == 0 {
-		t.Errorf("cold server got %d of %d attempts, want some but at most %.0f", sent, total, most*0.6)
+		t.Errorf("server in warm-up got %d of %d attempts, want some but at most %.0f", sent, total, most*0.6)
 	}
 }
 
-// In an overload where answers come late, a share is refused at once (incident
-// i0a7fe6); where servers turn work away instead, nothing is refused early.
-func TestShedsOnLateAnswersOnly(t *testing.T) {
+// In an overload where responses come late, a share is shed at once (incident
+// i0a7fe6); where servers reject work instead, nothing is shed early.
+func TestShedsOnLateResponsesOnly(t *testing.T) {
 	for _, status := range []Status{OK, AtCapacity} {
 		d := newHarness(t, testSettings(), 2)
 		d.members(ListCached, testServers(12))
@@ -381,12 +381,12 @@
 			}
 		}
 		if late := status == OK; (early > 20) != late {
-			t.Errorf("status %d: %d of 200 refused early", status, early)
+			t.Errorf("status %d: %d of 200 shed early", status, early)
 		}
 	}
 }
 
-func TestNewNamesTheField(t *testing.T) {
+func TestNewNamesTheInvalidField(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"Classes":         func(s *Settings) { s.Classes = nil },
 		"Name":            func(s *Settings) { s.Classes[1].Name = "read" },
@@ -450,11 +450,10 @@
 	// Output: send r1 to 10.0.0.1:80
 }
 
-// With every server cold, first tries go out as far as what cold servers can do
-// for certain allows, and no repeat does: it would add to what they are sent
-// without anything to measure it by. Without a warm one to go by, nothing was
-// sent at all until the first was warm.
-func TestAllServersCold(t *testing.T) {
+// With every server in warm-up, first requests go out as far as the assured capacity
+// allows, and no client's retry does: it would add load without a measure for it. Without a warm server as the measure, nothing
+// was sent at all until the first was warm.
+func TestAllServersWarmingUp(t *testing.T) {
 	set := testSettings()
 	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
 	b, _ := New(set, 4)
@@ -490,13 +489,13 @@
 	}
 	// At 0.2 to 0.36 of their capacity, 1.5 times that is 0.42 on average.
 	if first < 120 || first > 220 || again > 0 {
-		t.Errorf("sent to servers that are all cold: %d of 400 first tries and %d repeats; want 120 to 220, and none", first, again)
+		t.Errorf("sent to servers that all warm up: %d of 400 first requests and %d retries; want 120 to 220, and none", first, again)
 	}
 }
 
-// coldFleet is a balancer whose eight servers were warm, and how to ask it: the
-// server that a request was sent to, and served by, if any.
-func coldFleet(t *testing.T) (b *Balancer, now *time.Duration, ask func() string) {
+// restartedServers returns a balancer whose eight servers were warm, and a function that sends
+// a request and returns its server, if any.
+func restartedServers(t *testing.T) (b *Balancer, now *time.Duration, ask func() string) {
 	t.Helper()
 	set := testSettings()
 	set.CanHedge, set.InitialCapacity, set.WarmUpTime, set.WarmUpOverloadMultiple = false, 0.2, 20*time.Second, 3
@@ -523,8 +522,8 @@
 
 // The first server of a fleet that is back alone gets what one of eight did, not
 // what all did.
-func TestFirstColdServerBackAlone(t *testing.T) {
-	b, now, ask := coldFleet(t)
+func TestFirstServerBackAloneWarmsUp(t *testing.T) {
+	b, now, ask := restartedServers(t)
 	list := testServers(8)
 	gone := append([]Server(nil), list...)
 	for i := range gone {
@@ -542,6 +541,6 @@
 	}
 	// 1.5 times 0.2 to 0.28, of an eighth: 18 of 400.
 	if sent > 45 {
-		t.Errorf("%d of 400 requests went to the one cold server of what were eight", sent)
+		t.Errorf("%d of 400 requests went to the one server in warm-up of what were eight", sent)
 	}
 }
--- a/balance/noticed_test.go
+++ b/balance/mutation_test.go
@@ -11,7 +11,7 @@
 
 // A keyed request that may have run is not repeated once its group may have
 // forgotten it.
-func TestNoRepeatBehindTheWindow(t *testing.T) {
+func TestNoRetryAfterTheDedupWindow(t *testing.T) {
 	for _, tc := range []struct {
 		after time.Duration
 		again bool
@@ -39,7 +39,7 @@
 
 // An attempt that is out for long counts as latency before its time-out: of two
 // servers with one attempt each, the one whose attempt is old is avoided.
-func TestHungServerShowsBeforeItsTimeout(t *testing.T) {
+func TestUnresponsiveServerShowsBeforeItsTimeout(t *testing.T) {
 	worse := 0
 	for seed := range uint64(40) {
 		set := testSettings()
@@ -96,15 +96,15 @@
 	}
 }
 
-// While a share is refused for overload, refusals say when to return; without
-// an overload, and where the settings have no such advice, they say nothing.
-func TestRefusalsSayWhenToReturn(t *testing.T) {
+// While a share is shed for overload, rejections carry Retry-After; without
+// an overload, and where the settings have none, they carry none.
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, tc := range []struct{ advice, overload, want float64 }{{1, 0.5, 1}, {1, 0, 0}, {0, 0.5, 0}} {
 		set := testSettings()
 		set.RetryAfter = time.Duration(tc.advice * float64(time.Second))
 		b, _ := New(set, 1)
 		b.shedShare = tc.overload
-		now := time.Minute // with no server at all everything is refused in the end
+		now := time.Minute // with no server at all everything is rejected in the end
 		b.Request(now, Request{ID: "a", Class: "read", Deadline: now + 30*ms}, nil)
 		b.Request(now, Request{ID: "b", Class: "read", Deadline: now + 30*ms}, nil)
 		acts := b.Timer(now+time.Second, 0, nil)
--- a/balance/change_test.go
+++ b/balance/reconfigure_test.go
@@ -19,15 +19,15 @@
 	return 0
 }
 
-// changed returns the classes of a site with another aim for one of them.
-func changed(set Settings, name string, aim time.Duration) []Class {
+// changed returns the classes of a site with another latency objective for one of them.
+func changed(set Settings, name string, objective time.Duration) []Class {
 	classes := slices.Clone(set.Classes)
 	i := slices.IndexFunc(classes, func(c Class) bool { return c.Name == name })
-	classes[i].LatencyObjective, classes[i].LatePriorityWeight = aim, 0
+	classes[i].LatencyObjective, classes[i].LatePriorityWeight = objective, 0
 	return classes
 }
 
-func TestChangeHoldsForRequestsThatBeginAfterIt(t *testing.T) {
+func TestReconfigureAppliesToLaterRequests(t *testing.T) {
 	set := testSettings()
 	name := set.Classes[0].Name
 	set.Classes = changed(set, name, 200*ms)
@@ -51,29 +51,29 @@
 		t.Errorf("after: found %v, wanted %v", found, wanted)
 	}
 	if b.requests["before"].class != old || old.LatencyObjective != 200*ms {
-		t.Errorf("the request that had begun: found an aim of %v, wanted that it began with, %v", old.LatencyObjective, 200*ms)
+		t.Errorf("the request that had begun: found an objective of %v, wanted that it began with, %v", old.LatencyObjective, 200*ms)
 	}
-	// It is still ended by that aim.
+	// It still ends by that objective.
 	b.Timer(now+200*ms, uint64(b.armedFor), nil)
 	if b.requests["before"] != nil && !b.requests["before"].answered {
-		t.Error("the request that had begun: found it open after its aim, wanted its final answer")
+		t.Error("the request that had begun: found it open after its objective, wanted its final answer")
 	}
 }
 
-func TestChangeRefusesWhatWantsAStart(t *testing.T) {
+func TestReconfigureRejectsWhatNeedsARestart(t *testing.T) {
 	set := testSettings()
 	for name, change := range map[string]func([]Class) []Class{
-		"none":            func([]Class) []Class { return nil },
-		"one less":        func(c []Class) []Class { return c[1:] },
-		"one more":        func(c []Class) []Class { return append(c, Class{Name: "more", Deadline: time.Second}) },
-		"another order":   func(c []Class) []Class { c[0], c[1] = c[1], c[0]; return c },
-		"another name":    func(c []Class) []Class { c[0].Name = "other"; return c },
-		"a deadline":      func(c []Class) []Class { c[0].Deadline++; return c },
-		"an effect":       func(c []Class) []Class { c[0].Idempotency = (c[0].Idempotency + 1) % 3; return c },
-		"a window":        func(c []Class) []Class { c[0].DedupWindow++; return c },
-		"a stretch":       func(c []Class) []Class { c[0].ObjectivePerWork++; return c },
-		"an aim below 0":  func(c []Class) []Class { c[0].LatencyObjective = -1; return c },
-		"only the others": func(c []Class) []Class { return append(c, Class{Idempotency: NonIdempotent, LatePriorityWeight: 1}) },
+		"none":                 func([]Class) []Class { return nil },
+		"one less":             func(c []Class) []Class { return c[1:] },
+		"one more":             func(c []Class) []Class { return append(c, Class{Name: "more", Deadline: time.Second}) },
+		"another order":        func(c []Class) []Class { c[0], c[1] = c[1], c[0]; return c },
+		"another name":         func(c []Class) []Class { c[0].Name = "other"; return c },
+		"a deadline":           func(c []Class) []Class { c[0].Deadline++; return c },
+		"an effect":            func(c []Class) []Class { c[0].Idempotency = (c[0].Idempotency + 1) % 3; return c },
+		"a window":             func(c []Class) []Class { c[0].DedupWindow++; return c },
+		"a stretch":            func(c []Class) []Class { c[0].ObjectivePerWork++; return c },
+		"an objective below 0": func(c []Class) []Class { c[0].LatencyObjective = -1; return c },
+		"only the others":      func(c []Class) []Class { return append(c, Class{Idempotency: NonIdempotent, LatePriorityWeight: 1}) },
 	} {
 		b, err := New(set, 1)
 		if err != nil {
@@ -84,12 +84,12 @@
 			t.Errorf("%s: taken, wanted an error", name)
 		}
 		if !reflect.DeepEqual(b.settings.Classes, before) || len(b.tenantIndex) != 0 {
-			t.Errorf("%s: found classes %v and tenants %v after the refusal, wanted them as they were", name, b.settings.Classes, b.tenantIndex)
+			t.Errorf("%s: found classes %v and tenants %v after the error, wanted them as they were", name, b.settings.Classes, b.tenantIndex)
 		}
 	}
 }
 
-func TestChangeOfWorthsAndTenants(t *testing.T) {
+func TestReconfigureWeightsAndTenants(t *testing.T) {
 	set := testSettings()
 	set.QuotaExcessWeight = 0.05
 	set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
@@ -109,10 +109,10 @@
 		t.Fatal(err)
 	}
 	if wanted := 7 * float64(len(classes)); b.weightSum != wanted {
-		t.Errorf("sum of the worths: found %v, wanted %v", b.weightSum, wanted)
+		t.Errorf("sum of the weights: found %v, wanted %v", b.weightSum, wanted)
 	}
 	if !slices.Equal(b.tenantShares, seen) {
-		t.Errorf("observed shares: found %v after a change of worths alone, wanted %v", b.tenantShares, seen)
+		t.Errorf("observed shares: found %v after a change of weights alone, wanted %v", b.tenantShares, seen)
 	}
 	other := []Tenant{{"none", 0}, {"new", 300}, {"small", 100}}
 	if err := b.Reconfigure(classes, other); err != nil {
--- a/balance/recording_test.go
+++ b/balance/recording_test.go
@@ -262,7 +262,7 @@
 		r.now += ms
 		r.phase = (tick / 1000) % 7
 		r.step()
-		if tick == recordingTicks*3/4 { // a restart of the whole fleet: all are cold
+		if tick == recordingTicks*3/4 { // a restart of the whole fleet: all warm up
 			for i := range r.list {
 				r.list[i].State, r.list[i].StartTime = Ready, r.now
 			}
--- a/balance/shed_test.go
+++ b/balance/shedding_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// shedShareAfterUnfinished sends n requests a gap apart that all are still out at their
-// aim, then counts how many of 200 more are refused at once.
+// shedShareAfterUnfinished sends n requests a gap apart that all are still in flight at
+// their objective, then returns the share of 200 more that is shed at once.
 func shedShareAfterUnfinished(class string, n int, gap time.Duration) float64 {
 	b, _ := New(testSettings(), 5)
 	b.Endpoints(time.Second, ListFull, testServers(9), nil)
-	now, refused := time.Minute, 0
+	now, shed := time.Minute, 0
 	send := func(id string) bool {
 		now += gap
 		acts := b.Request(now, Request{ID: id, Class: class, Deadline: now + 900*ms}, nil)
@@ -24,18 +24,18 @@
 	}
 	for i := range 200 {
 		if send(fmt.Sprint(i)) {
-			refused++
+			shed++
 		}
 	}
-	return float64(refused) / 200
+	return float64(shed) / 200
 }
 
-// Attempts that are out at the aim feed an overload also where a late answer
-// is worth nothing and the request ends there (iaba009).
-func TestAttemptsOutAtTheirAimRaiseTheShareRefused(t *testing.T) {
+// Attempts in flight at the objective feed an overload also where a late response
+// has no value and the request ends there (iaba009).
+func TestAttemptsInFlightAtTheirObjectiveRaiseTheShedShare(t *testing.T) {
 	for _, class := range []string{"join", "record"} {
 		if got := shedShareAfterUnfinished(class, 60, 2*time.Second); got < 0.5 {
-			t.Errorf("%s: %.2f refused, want most", class, got)
+			t.Errorf("%s: %.2f shed, want most", class, got)
 		}
 	}
 }
@@ -104,14 +104,14 @@
 	}
 }
 
-// While most of a grown fleet is cold and serves well, nobody is scarce: a
-// tenant above its share is not refused for it. And requests refused at once
-// must not lower the share that cold servers get (ifb7b22).
-func TestColdServersServingAreNoScarcity(t *testing.T) {
+// While most of a grown fleet warms up and serves well, nobody is scarce: a
+// tenant above its share is not shed for it. And requests shed at once must
+// not lower the ration of servers in warm-up (ifb7b22).
+func TestServersInWarmUpAreNoScarcity(t *testing.T) {
 	b, _ := New(testSettings(), 7)
 	list := testServers(12)
 	for i := range list {
-		list[i].StartTime = time.Minute - time.Second // all cold
+		list[i].StartTime = time.Minute - time.Second // all in warm-up
 	}
 	list[0].StartTime = 0
 	b.Endpoints(time.Minute, ListFull, list, nil)
@@ -134,6 +134,6 @@
 		b.answer(q, now)
 	}
 	if b.servedByWarm != before {
-		t.Errorf("requests refused at once moved the warm servers' share from %.2f to %.2f", before, b.servedByWarm)
+		t.Errorf("requests shed at once moved the warm servers' share from %.2f to %.2f", before, b.servedByWarm)
 	}
 }
--- a/balance/over_test.go
+++ b/balance/shutdown_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Over gives every open request its final answer at once, truthfully: a refusal
-// where nothing ran or a repeat is harmless, else a failure. Nothing is sent any
+// Shutdown gives every request in flight its final answer at once: a rejection
+// where nothing was executed or a retry is safe, else a failure. Nothing is sent any
 // more.
-func TestOver(t *testing.T) {
+func TestShutdownAnswersAllRequests(t *testing.T) {
 	set := testSettings()
 	set.CanHedge = false
 	d := newHarness(t, set, 4)
--- a/balance/subscribe_test.go
+++ b/balance/subscribe_test.go
@@ -8,7 +8,7 @@
 // After a call for the list that failed, what is new counts as told 6 s after the
 // service has it and can be reached. The next call is due so soon, however many have
 // failed, that a call and its answer fit in as well; and calls stay spread out.
-func TestListIsAskedForAgainSoon(t *testing.T) {
+func TestSubscribesAgainSoon(t *testing.T) {
 	const (
 		most  = 3 * time.Second // to the begin of the next call
 		least = 100 * time.Millisecond
@@ -69,7 +69,7 @@
 // The list comes unasked (a hand-over, a move of discovery) while the module's own call
 // for it is still due, and the watch breaks before that: the call that is due must be
 // made, for no other will be.
-func TestWatchThatBreaksBeforeACallIsDueIsMadeGood(t *testing.T) {
+func TestSubscribesAgainAfterAWatchBreaksEarly(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		b, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}, MaxAttempts: 1, InitialCapacity: 1, Subscribe: true}, 3)
 		if err != nil {
@@ -105,7 +105,7 @@
 
 // A repeat of a keyed request may leave only while the group still drops it; what
 // is no such repeat has the request's own time.
-func TestLatestOfARepeat(t *testing.T) {
+func TestSendDeadlineOfARetry(t *testing.T) {
 	set := Settings{MaxAttempts: 3, InitialCapacity: 1, Classes: []Class{
 		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: ScopeAll, DedupWindow: 200 * time.Millisecond, Deadline: 5 * time.Second, LatePriorityWeight: 1},
 		{Name: "free", Idempotency: Idempotent, DedupWindow: 200 * time.Millisecond, Deadline: 5 * time.Second, LatePriorityWeight: 1},
--- a/balance/tenant_test.go
+++ b/balance/tenants_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// A tenant that sends several times its share must be refused before another
+// A tenant that sends several times its share must be shed before another
 // that keeps to it, and only while servers are scarce.
-func TestTenantOverItsShareGoesFirst(t *testing.T) {
+func TestTenantOverItsShareIsShedFirst(t *testing.T) {
 	for _, scarceNow := range []bool{true, false} {
 		set := testSettings()
 		set.QuotaExcessWeight = 0.05
 		set.Tenants = []Tenant{{"big", 600}, {"small", 400}}
 		b, _ := New(set, 4)
 		b.Endpoints(0, ListCached, testServers(12), nil)
-		refused, sent := map[string]int{}, map[string]int{}
+		shed, sent := map[string]int{}, map[string]int{}
 		now := time.Second
 		for n := range 1000 {
 			now += 10 * ms
@@ -32,15 +32,15 @@
 			for _, a := range b.Request(now, Request{ID: id, Class: "record", Tenant: tenant, Deadline: now + time.Second}, nil) {
 				switch a.Kind {
 				case Reject:
-					refused[tenant]++
+					shed[tenant]++
 				case Send:
 					b.Outcome(now, Outcome{Request: id, Status: status, Took: ms, Final: status == OK}, nil)
 				}
 			}
 		}
-		share := float64(refused["small"]) / float64(sent["small"])
-		if (share > 0.3) != scarceNow || refused["big"] > 0 {
-			t.Errorf("scarce %v: refused %v of %v", scarceNow, refused, sent)
+		share := float64(shed["small"]) / float64(sent["small"])
+		if (share > 0.3) != scarceNow || shed["big"] > 0 {
+			t.Errorf("scarce %v: shed %v of %v", scarceNow, shed, sent)
 		}
 	}
 }
