--- a/internal/coap/caller/caller.go
+++ b/internal/coap/caller/caller.go
@@ -19,7 +19,7 @@
 // Ending is how an attempt ended.
 type Ending int
 
-// The endings. Of all but Served, TurnedAway and NotThere the request may have
+// The endings. Of all but Served, Rejected and NotThere the request may have
 // run.
 const (
 	Served     Ending = iota
@@ -30,7 +30,7 @@
 	Silent            // nothing came in the time of the protocol
 )
 
-// Request is what is asked of a server.
+// IsRequest is what is asked of a server.
 type Request struct {
 	Unsafe        bool   // to run it twice may do harm
 	Safe          bool   // a GET
@@ -44,7 +44,7 @@
 	ContentFormat int // -1 for none
 }
 
-// Kind says what an action is.
+// ActionKind says what an action is.
 type Kind int
 
 // The kinds of action.
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if set.Body < 1 || set.Block < 16 || set.Block > message.MostBlock || set.EchoFor <= 0 {
+	if set.Body < 1 || set.Block < 16 || set.Block > message.MaxBlockSize || set.EchoFor <= 0 {
 		return nil, errors.New("caller: wanted Body and EchoFor above 0, Block of 16 to 1024")
 	}
 	return &Caller{set: set, peer: peer, ex: ex, byName: map[uint64]*attempt{}, byOut: map[uint64]*attempt{}}, nil
@@ -130,10 +130,10 @@
 // Counts are what its message layer did.
 func (c *Caller) Counts() exchange.Counts { return c.ex.Counts() }
 
-// HasRoom tells whether an attempt could begin now: whether there is an ID left.
-func (c *Caller) HasRoom(now time.Duration) bool { return c.ex.HasRoom(now, c.peer) }
+// HasCapacity tells whether an attempt could begin now: whether there is an ID left.
+func (c *Caller) HasRoom(now time.Duration) bool { return c.ex.HasCapacity(now, c.peer) }
 
-// Open is how many attempts are under way.
+// MaxPendingRequests is how many attempts are under way.
 func (c *Caller) Open() int { return len(c.byName) }
 
 func (c *Caller) done() []Action {
@@ -198,7 +198,7 @@
 	case a.whole: // set by download
 	case a.up != nil:
 		part, b := a.up.Block()
-		m.Payload, last = part, a.up.Last()
+		m.Payload, last = part, a.up.IsLast()
 		m.AddBlock(message.Block1, b)
 	default:
 		m.Payload = a.req.Body
@@ -223,7 +223,7 @@
 	a.out = c.last
 	c.byOut[a.out] = a
 	once := a.req.Unsafe && a.whole && !a.echoed && c.manner != enforcing
-	acts, ok := c.ex.Ask(now, a.out, c.peer, m, once, nil)
+	acts, ok := c.ex.Request(now, a.out, c.peer, m, once, nil)
 	if !ok {
 		c.end(a, Action{Ending: NotThere})
 		return
@@ -262,14 +262,14 @@
 	return c.done()
 }
 
-// Unreachable takes the network's word that nobody is there.
+// PeerUnreachable takes the network's word that nobody is there.
 func (c *Caller) Unreachable(now time.Duration, acts []Action) []Action {
 	c.acts = acts
-	c.carry(now, c.ex.Unreachable(now, c.peer, nil))
+	c.carry(now, c.ex.PeerUnreachable(now, c.peer, nil))
 	return c.done()
 }
 
-// Next returns when Tick has something to do; false if there is nothing.
+// NextBlock returns when Tick has something to do; false if there is nothing.
 func (c *Caller) Next() (time.Duration, bool) { return c.ex.Next() }
 
 // Tick does what is due by now.
@@ -301,13 +301,13 @@
 
 // failed takes the end of an exchange without an answer.
 func (c *Caller) failed(a *attempt, x *exchange.Action) {
-	proof := x.Sent <= 1 && !x.Acked // one datagram, and it was not taken
+	proof := x.Transmissions <= 1 && !x.Acknowledged // one datagram, and it was not taken
 	switch {
 	case !a.whole:
 		c.end(a, Action{Ending: TurnedAway}) // it runs with its last block
 	case a.first.Code != 0:
 		c.end(a, Action{Ending: Erred}) // it ran, and its answer is not whole
-	case x.Why == exchange.Lost:
+	case x.Reason == exchange.TimedOut:
 		c.end(a, Action{Ending: Silent})
 	case proof:
 		c.end(a, Action{Ending: NotThere})
@@ -327,7 +327,7 @@
 		return
 	}
 	if a.first.Code == 0 && a.up != nil {
-		more, err := a.up.Continue(m)
+		more, err := a.up.HandleResponse(m)
 		switch {
 		case err != nil && a.whole:
 			c.end(a, Action{Ending: Erred})
@@ -385,7 +385,7 @@
 
 // download takes an answer, or a block of it.
 func (c *Caller) download(now time.Duration, a *attempt, m *message.Message) {
-	next, more, err := a.down.Take(m)
+	next, more, err := a.down.HandleResponse(m)
 	if err != nil {
 		c.end(a, Action{Ending: Erred})
 		return
--- a/internal/lab/standin/coapclient/coapclient.go
+++ b/internal/lab/standin/coapclient/coapclient.go
@@ -55,17 +55,17 @@
 		cfg.Local = "127.0.0.1:0"
 	}
 	if cfg.Params.AckTimeout == 0 {
-		cfg.Params = exchange.Defaults()
+		cfg.Params = exchange.DefaultParams()
 		cfg.Params.NStart = 64
 	}
 	if cfg.Block == 0 {
-		cfg.Block = message.MostBlock
+		cfg.Block = message.MaxBlockSize
 	}
 	local, err := netip.ParseAddrPort(cfg.Local)
 	if err != nil {
 		return nil, err
 	}
-	x, err := exchange.NewClient(cfg.Params, exchange.ClientLimits{Open: 4096, Heard: 4096}, cfg.Seed)
+	x, err := exchange.NewClient(cfg.Params, exchange.ClientLimits{MaxInFlight: 4096, MaxDedupEntries: 4096}, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 
 func (c *Client) read() {
 	defer c.wg.Done()
-	buf := make([]byte, message.MostDatagram+1)
+	buf := make([]byte, message.MaxDatagramSize+1)
 	var m message.Message
 	for {
 		n, peer, err := c.conn.ReadFromUDPAddrPort(buf)
@@ -160,7 +160,7 @@
 		m.Options = append([]message.Option(nil), m.Options...)
 		m.Add(message.Echo, c.echo)
 	}
-	acts, ok := c.x.Ask(c.now(), handle, c.server, m, false, nil)
+	acts, ok := c.x.Request(c.now(), handle, c.server, m, false, nil)
 	c.carry(acts)
 	if !ok {
 		delete(c.waiting, handle)
@@ -221,7 +221,7 @@
 		if err != nil {
 			return r, err
 		}
-		if more, err := up.Continue(&r); err != nil || !more {
+		if more, err := up.HandleResponse(&r); err != nil || !more {
 			return r, err
 		}
 	}
@@ -231,7 +231,7 @@
 	down := block.NewDownload(64 << 10)
 	first := r
 	for {
-		next, more, err := down.Take(&r)
+		next, more, err := down.HandleResponse(&r)
 		if err != nil {
 			return r, err
 		}
