--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -363,15 +363,28 @@
 func TestOneHandoverAtATime(t *testing.T) {
 	t.Parallel()
 	s := newSource(t)
-	_, path := offer(t, s, testTimeout)
+	o, path := offer(t, s, testTimeout)
 	predecessor, err := Request(path, s.ln.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer predecessor.Close()
 	if _, err := Request(path, s.ln.Addr().String(), testTimeout); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "another process is taking over") {
 		t.Errorf("the second: %v", err)
 	}
+	// The handover fails, and the offer binds its path anew.
+	predecessor.Close()
+	for deadline := time.Now().Add(testTimeout); o.isBusy(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the listener is not offered again")
+		}
+	}
+}
+
+// isBusy reports whether a handover is in progress.
+func (o *Offer) isBusy() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.busy
 }
 
 // FuzzLines looks for lines that exceed the bounds of the protocol.
