--- a/internal/keytest/keytest.go
+++ b/internal/keytest/keytest.go
@@ -1,6 +1,6 @@
 // Package keytest guards the names that the program writes for others to read: the
-// keys of its messages, files and settings. A test compares the keys of the types
-// that a package marshals with a list in testdata, so that renaming a field in Go
+// keys of its messages, files and settings, and whole recorded texts. A test compares
+// the keys of the types that a package marshals with a list in testdata, so that renaming a field in Go
 // can't rename it in a file that an older version wrote, or on the wire.
 //
 // Only tests import it.
@@ -21,7 +21,10 @@
 	"otterspring/internal/disk"
 )
 
-var update = flag.Bool("update-keys", false, "write the lists of keys anew instead of comparing them")
+var (
+	updateKeys   = flag.Bool("update-keys", false, "write the lists of keys anew instead of comparing them")
+	updateGolden = flag.Bool("update-golden", false, "write the golden files anew instead of comparing them")
+)
 
 // Marshaled is one type that is written for others to read.
 type Marshaled struct {
@@ -46,22 +49,53 @@
 		list.WriteString("\n")
 	}
 	got := list.String()
-	if *update {
-		if err := disk.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := disk.Replace(path, []byte(got), false); err != nil {
-			t.Fatal(err)
-		}
+	if *updateKeys {
+		write(t, path, got)
+		return
+	}
+	if want := read(t, path); got != want {
+		t.Errorf("the keys differ from %s: %s", path, difference(got, want))
+	}
+}
+
+// CompareGolden fails the test at the first line in which a text differs from the
+// golden file, which an earlier version of the program has written.
+func CompareGolden(t *testing.T, path, got string) {
+	t.Helper()
+	if *updateGolden {
+		write(t, path, got)
 		return
 	}
+	want := read(t, path)
+	if got == want {
+		return
+	}
+	found, wanted := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range min(len(found), len(wanted)) {
+		if found[i] != wanted[i] {
+			t.Fatalf("%s:%d: found %s, wanted %s", path, i+1, found[i], wanted[i])
+		}
+	}
+	t.Fatalf("%s: found %d lines, wanted %d", path, len(found), len(wanted))
+}
+
+func write(t *testing.T, path, text string) {
+	t.Helper()
+	if err := disk.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := disk.Replace(path, []byte(text), false); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func read(t *testing.T, path string) string {
+	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := string(text); got != want {
-		t.Errorf("the keys differ from %s: %s", path, difference(got, want))
-	}
+	return string(text)
 }
 
 // difference names the lines that only one of two lists has.
--- a/internal/sidecar/discovery/drain/trace_test.go
+++ b/internal/sidecar/discovery/drain/trace_test.go
@@ -1,17 +1,15 @@
 package drain
 
 import (
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
-)
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded decisions anew instead of comparing them")
+	"otterspring/internal/keytest"
+)
 
 // The decisions on seeded random lists, of several discoveries and incarnations, are
 // the recorded ones.
@@ -39,23 +37,5 @@
 			fmt.Fprintf(&trace, " -> %v %d\n", servers, tracker.Len())
 		}
 	}
-	path := filepath.Join("testdata", "decisions.txt")
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(trace.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, wanted := strings.Split(trace.String(), "\n"), strings.Split(string(want), "\n")
-	if len(got) != len(wanted) {
-		t.Fatalf("found %d decisions, wanted %d", len(got), len(wanted))
-	}
-	for i := range got {
-		if got[i] != wanted[i] {
-			t.Fatalf("decision %d: found %s, wanted %s", i, got[i], wanted[i])
-		}
-	}
+	keytest.CompareGolden(t, filepath.Join("testdata", "decisions.txt"), trace.String())
 }
--- a/internal/sidecar/discovery/forms_test.go
+++ b/internal/sidecar/discovery/forms_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"net"
 	"os"
@@ -11,29 +10,10 @@
 	"testing"
 	"time"
 
+	"otterspring/internal/keytest"
 	"otterspring/internal/sidecar/dispatch"
 )
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
-
-// compareWithFile fails the test where got is not what the file in testdata holds.
-func compareWithFile(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: found\n%s\nwanted\n%s", path, got, want)
-	}
-}
-
 // describe is a list by the names of discovery's form.
 func describe(list dispatch.EndpointList) string {
 	var text strings.Builder
@@ -57,8 +37,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareWithFile(t, name+".txt", describe(list))
-			compareWithFile(t, name+".written.json", string(Marshal(list)))
+			keytest.CompareGolden(t, filepath.Join("testdata", name+".txt"), describe(list))
+			keytest.CompareGolden(t, filepath.Join("testdata", name+".written.json"), string(Marshal(list)))
 			for _, key := range []string{"index", "snapshot", "endpoints", "name", "address", "zone", "group", "status", "since_ms"} {
 				renamed := bytes.ReplaceAll(text, []byte(`"`+key+`":`), []byte(`"`+key+`x":`))
 				if bytes.Equal(renamed, text) {
@@ -129,5 +109,5 @@
 		text.WriteString(strings.ReplaceAll(<-requests, addr, "ADDRESS"))
 		fmt.Fprintf(&text, "source=%s\n", source)
 	}
-	compareWithFile(t, "requests.txt", strings.ReplaceAll(text.String(), "\r\n", "<CRLF>\n"))
+	keytest.CompareGolden(t, filepath.Join("testdata", "requests.txt"), strings.ReplaceAll(text.String(), "\r\n", "<CRLF>\n"))
 }
--- a/internal/sidecar/dispatch/trace_test.go
+++ b/internal/sidecar/dispatch/trace_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"cmp"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -13,10 +11,9 @@
 	"time"
 
 	"otterspring/balance"
+	"otterspring/internal/keytest"
 )
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded decisions anew instead of comparing them")
-
 // recordedUpstream records that it was retired.
 type recordedUpstream struct {
 	idleUpstream
@@ -33,25 +30,7 @@
 	for seed := range uint64(10) {
 		traceLists(t, &trace, rand.New(rand.NewPCG(seed, 0)))
 	}
-	path := filepath.Join("testdata", "lists.txt")
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(trace.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, wanted := strings.Split(trace.String(), "\n"), strings.Split(string(want), "\n")
-	if len(got) != len(wanted) {
-		t.Fatalf("found %d steps, wanted %d", len(got), len(wanted))
-	}
-	for i := range got {
-		if got[i] != wanted[i] {
-			t.Fatalf("step %d: found %s, wanted %s", i, got[i], wanted[i])
-		}
-	}
+	keytest.CompareGolden(t, filepath.Join("testdata", "lists.txt"), trace.String())
 }
 
 func traceLists(t *testing.T, trace *strings.Builder, rng *rand.Rand) {
--- a/internal/sidecar/forms_test.go
+++ b/internal/sidecar/forms_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"os"
@@ -14,29 +13,10 @@
 	"time"
 
 	"otterspring/balance"
+	"otterspring/internal/keytest"
 	"otterspring/internal/sidecar/operatorconfig"
 )
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
-
-// compareWithFile fails the test where got is not what the file in testdata holds.
-func compareWithFile(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: found\n%s\nwanted\n%s", path, got, want)
-	}
-}
-
 // describe is a configuration by the names of the operators' pages.
 func describe(c *Config) string {
 	var text strings.Builder
@@ -86,7 +66,7 @@
 		t.Fatal(err)
 	}
 	want := describe(&cfg)
-	compareWithFile(t, "config.txt", want)
+	keytest.CompareGolden(t, filepath.Join("testdata", "config.txt"), want)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +121,7 @@
 		closeAtEnd(t, s.httpServer.Listener())
 		s.cancel()
 	}
-	compareWithFile(t, "up.txt", text.String())
+	keytest.CompareGolden(t, filepath.Join("testdata", "up.txt"), text.String())
 }
 
 // What a sidecar derives from its name and shows to others stays: the delay of its
@@ -161,5 +141,5 @@
 		s.SetDrainTimeout(3 * time.Second)
 		fmt.Fprintf(&text, ", %v\n", s.drainTimeout())
 	}
-	compareWithFile(t, "derived.txt", text.String())
+	keytest.CompareGolden(t, filepath.Join("testdata", "derived.txt"), text.String())
 }
--- a/internal/sidecar/httpserver/forms_test.go
+++ b/internal/sidecar/httpserver/forms_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"flag"
 	"fmt"
 	"net"
 	"os"
@@ -16,37 +15,11 @@
 	"github.com/valyala/fasthttp"
 
 	"otterspring/balance"
+	"otterspring/internal/keytest"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/httpupstream"
 )
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
-
-// compareWithFile fails the test where got is not what the file in testdata holds.
-func compareWithFile(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	found, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(found), len(wanted)) {
-		if found[i] != wanted[i] {
-			t.Fatalf("%s:%d: found %s, wanted %s", path, i+1, found[i], wanted[i])
-		}
-	}
-	t.Fatalf("%s: found %d lines, wanted %d", path, len(found), len(wanted))
-}
-
 var dateLine = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
 // visible writes line ends so that a file shows them.
@@ -113,7 +86,7 @@
 			raw, request.ID, request.Class, request.Tenant, request.Key, request.Deadline, request.Work, request.IsRetry)
 		text.Write(requestHead(&head, 7, head.IsGet()))
 	}
-	compareWithFile(t, "requests.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
+	keytest.CompareGolden(t, filepath.Join("testdata", "requests.txt"), visible(dateLine.ReplaceAllString(text.String(), "")))
 }
 
 // neutralResponse is one that was received over another protocol.
@@ -151,5 +124,5 @@
 		write("a body with "+err.Error(), func(ctx *fasthttp.RequestCtx) { rejectBody(ctx, err) })
 	}
 	write("too many connections", func(ctx *fasthttp.RequestCtx) { rejectBusy(ctx, "too many connections") })
-	compareWithFile(t, "responses.txt", visible(dateLine.ReplaceAllString(text.String(), "")))
+	keytest.CompareGolden(t, filepath.Join("testdata", "responses.txt"), visible(dateLine.ReplaceAllString(text.String(), "")))
 }
--- a/internal/sidecar/httpupstream/forms_test.go
+++ b/internal/sidecar/httpupstream/forms_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync/atomic"
@@ -14,36 +12,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"otterspring/internal/keytest"
 	"otterspring/internal/sidecar/dispatch"
 )
 
-var updateGuards = flag.Bool("update-guards", false, "write the recorded forms anew instead of comparing them")
-
-// compareWithFile fails the test where got is not what the file in testdata holds.
-func compareWithFile(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGuards {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	found, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(found), len(wanted)) {
-		if found[i] != wanted[i] {
-			t.Fatalf("%s:%d: found %s, wanted %s", path, i+1, found[i], wanted[i])
-		}
-	}
-	t.Fatalf("%s: found %d lines, wanted %d", path, len(found), len(wanted))
-}
-
 // visible writes line ends so that a file shows them.
 func visible(text string) string { return strings.ReplaceAll(text, "\r\n", "<CRLF>\n") }
 
@@ -70,7 +42,7 @@
 		fmt.Fprintf(&text, "|%s\n", lastByte)
 		fmt.Fprintf(&text, "read back the same: %t\n", headOf(m, body.Len()).Neutral() == m)
 	}
-	compareWithFile(t, "requests.txt", visible(text.String()))
+	keytest.CompareGolden(t, filepath.Join("testdata", "requests.txt"), visible(text.String()))
 }
 
 // What each form of a response says of its attempt is as recorded.
@@ -90,7 +62,7 @@
 		err := readResponse(&response, reader)
 		fmt.Fprintf(&text, "%q: failed %t, status %d, close %t, left %d\n", raw[:min(len(raw), 90)], err != nil, statusOf(&response, err), response.ConnectionClose(), reader.Buffered())
 	}
-	compareWithFile(t, "responses.txt", text.String())
+	keytest.CompareGolden(t, filepath.Join("testdata", "responses.txt"), text.String())
 }
 
 // What is learnt of stale connections from seeded random uses is as recorded.
@@ -111,5 +83,5 @@
 		}
 		text.WriteString("\n")
 	}
-	compareWithFile(t, "staleness.txt", text.String())
+	keytest.CompareGolden(t, filepath.Join("testdata", "staleness.txt"), text.String())
 }
