--- a/internal/coap/echo/echo.go
+++ b/internal/coap/echo/echo.go
@@ -1,8 +1,10 @@
-// Package echo makes and checks the values of the Echo option (RFC 9175, section
-// 2): proof that a request was written after this process had begun, lately, by
-// someone who receives at the address that it comes from. It keeps nothing for
-// each client: a value is a time and a keyed hash over it and the endpoint
-// (appendix A, method 2).
+// Package echo issues and verifies the values of the Echo option (RFC 9175, section 2).
+// A fresh value proves that a request was sent recently, after this process started,
+// by a client that receives datagrams at its source address.
+//
+// There is no state for each client: a value is a timestamp and a keyed hash over it
+// and the client's endpoint (appendix A, method 2). All methods are safe for concurrent
+// use.
 package echo
 
 import (
@@ -16,76 +18,83 @@
 )
 
 const (
-	timeBytes = 6 // milliseconds since the maker's origin
-	macBytes  = 10
-	// ValueSize is the length of a value.
-	ValueSize = timeBytes + macBytes
-	// MinKeySize is the least length of a key.
+	timestampSize = 6  // bytes: milliseconds since the origin of the issuer's clock
+	macSize       = 10 // bytes of the truncated HMAC-SHA-256
+	// ValueSize is the length of a value in bytes.
+	ValueSize = timestampSize + macSize
+	// MinKeySize is the least length of a key in bytes.
 	MinKeySize = 16
 )
 
-// Verdict is what a value proves.
+// Errors of New.
+var (
+	ErrShortKey = errors.New("echo: key too short")
+	ErrLifetime = errors.New("echo: lifetime not positive")
+)
+
+// Verdict is the result of verifying a value.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	Fresh   Verdict = iota // of this life, young enough, and from that endpoint
-	Expired                // of this life and endpoint, and too old
-	Invalid                // of another life, key or endpoint, or not a value at all
+	Fresh   Verdict = iota // issued with this key, for that endpoint, within the lifetime
+	Expired                // issued with this key, for that endpoint, too long ago
+	Invalid                // issued with another key or for another endpoint, or malformed
 )
 
-// Issuer makes values and checks them. The key is new with each life of the
-// process, or handed over with the tables that prove what has run: a value that
-// it verifies was given in the present life.
+// Issuer issues and verifies values. A process draws its key at random, or receives it
+// from its predecessor together with the table of exchanges: whatever the key verifies
+// was issued during the time that the table covers.
 type Issuer struct {
-	key []byte
-	age time.Duration
+	key      []byte
+	lifetime time.Duration
 }
 
-// New returns a Maker whose values are fresh for age. The key must be random.
-func New(key []byte, age time.Duration) (*Issuer, error) {
+// New returns an Issuer whose values are fresh for the lifetime, which must be
+// positive. The key must be random and have MinKeySize bytes or more; it is copied.
+func New(key []byte, lifetime time.Duration) (*Issuer, error) {
 	if len(key) < MinKeySize {
-		return nil, fmt.Errorf("echo: key of %d bytes, wanted %d or more", len(key), MinKeySize)
+		return nil, fmt.Errorf("%w: found %d bytes, expected %d or more", ErrShortKey, len(key), MinKeySize)
 	}
-	if age <= 0 {
-		return nil, errors.New("echo: age: not positive")
+	if lifetime <= 0 {
+		return nil, fmt.Errorf("%w: found %v", ErrLifetime, lifetime)
 	}
-	return &Issuer{key: append([]byte(nil), key...), age: age}, nil
+	return &Issuer{key: append([]byte(nil), key...), lifetime: lifetime}, nil
 }
 
-// Value returns a value for an endpoint at a time, which counts from the origin
-// that goes with the key.
-func (m *Issuer) Value(now time.Duration, peer netip.AddrPort) []byte {
-	v := make([]byte, timeBytes, ValueSize)
-	ms := uint64(max(now, 0) / time.Millisecond)
-	for i := range v {
-		v[i] = byte(ms >> (8 * (timeBytes - 1 - i)))
+// Value returns a value for an endpoint. now counts from an origin that belongs to the
+// key; negative times count as 0.
+func (i *Issuer) Value(now time.Duration, peer netip.AddrPort) []byte {
+	value := make([]byte, timestampSize, ValueSize)
+	milliseconds := uint64(max(now, 0) / time.Millisecond)
+	for at := range value {
+		value[at] = byte(milliseconds >> (8 * (timestampSize - 1 - at)))
 	}
-	return append(v, m.mac(v, peer)...)
+	return append(value, i.mac(value, peer)...)
 }
 
-// mac is the keyed hash over a value's time and its endpoint.
-func (m *Issuer) mac(t []byte, peer netip.AddrPort) []byte {
-	h := hmac.New(sha256.New, m.key)
-	h.Write(t)
-	a := peer.Addr().As16()
-	h.Write(a[:])
-	h.Write(binary.BigEndian.AppendUint16(nil, peer.Port()))
-	return h.Sum(nil)[:macBytes]
+// mac returns the keyed hash over a timestamp and an endpoint.
+func (i *Issuer) mac(timestamp []byte, peer netip.AddrPort) []byte {
+	hash := hmac.New(sha256.New, i.key)
+	hash.Write(timestamp)
+	address := peer.Addr().As16()
+	hash.Write(address[:])
+	hash.Write(binary.BigEndian.AppendUint16(nil, peer.Port()))
+	return hash.Sum(nil)[:macSize]
 }
 
-// Check tells what a value proves at a time. One from the future counts as old:
-// the clock that made it is not this one's.
-func (m *Issuer) Check(now time.Duration, peer netip.AddrPort, value []byte) Verdict {
-	if len(value) != ValueSize || !hmac.Equal(value[timeBytes:], m.mac(value[:timeBytes], peer)) {
+// Check verifies the value of a request from an endpoint. A timestamp in the future
+// counts as expired: it does not come from this clock.
+func (i *Issuer) Check(now time.Duration, peer netip.AddrPort, value []byte) Verdict {
+	if len(value) != ValueSize || !hmac.Equal(value[timestampSize:], i.mac(value[:timestampSize], peer)) {
 		return Invalid
 	}
-	var ms uint64
-	for _, b := range value[:timeBytes] {
-		ms = ms<<8 | uint64(b)
+	var milliseconds uint64
+	for _, b := range value[:timestampSize] {
+		milliseconds = milliseconds<<8 | uint64(b)
 	}
-	made := time.Duration(ms) * time.Millisecond
-	if made > now || now-made >= m.age {
+	issued := time.Duration(milliseconds) * time.Millisecond
+	if issued > now || now-issued >= i.lifetime {
 		return Expired
 	}
 	return Fresh
--- a/internal/coap/echo/echo_test.go
+++ b/internal/coap/echo/echo_test.go
@@ -1,6 +1,7 @@
 package echo
 
 import (
+	"errors"
 	"net/netip"
 	"testing"
 	"time"
@@ -14,7 +15,7 @@
 	other = netip.MustParseAddrPort("127.0.0.1:1001")
 )
 
-func maker(t *testing.T, k []byte) *Issuer {
+func newIssuer(t *testing.T, k []byte) *Issuer {
 	t.Helper()
 	m, err := New(k, time.Minute)
 	if err != nil {
@@ -24,7 +25,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	m := maker(t, key)
+	m := newIssuer(t, key)
 	v := m.Value(time.Hour, one)
 	if len(v) != ValueSize || ValueSize > 40 {
 		t.Fatalf("a value of %d bytes", len(v))
@@ -36,39 +37,39 @@
 		value []byte
 		want  Verdict
 	}{
-		"at once":                 {m, time.Hour, one, v, Fresh},
-		"just in time":            {m, time.Hour + time.Minute - 1, one, v, Fresh},
-		"a minute later":          {m, time.Hour + time.Minute, one, v, Expired},
-		"before it was made":      {m, time.Hour - time.Second, one, v, Expired},
-		"from another port":       {m, time.Hour, other, v, Invalid},
-		"of another life":         {maker(t, []byte("another life's key")), time.Hour, one, v, Invalid},
-		"cut short":               {m, time.Hour, one, v[:ValueSize-1], Invalid},
-		"none":                    {m, time.Hour, one, nil, Invalid},
-		"with its time changed":   {m, time.Hour, one, append([]byte{1}, v[1:]...), Invalid},
-		"the value of a stranger": {m, time.Hour, one, m.Value(time.Hour, other), Invalid},
+		"at once":                  {m, time.Hour, one, v, Fresh},
+		"just before it expires":   {m, time.Hour + time.Minute - 1, one, v, Fresh},
+		"a minute later":           {m, time.Hour + time.Minute, one, v, Expired},
+		"before it was issued":     {m, time.Hour - time.Second, one, v, Expired},
+		"from another port":        {m, time.Hour, other, v, Invalid},
+		"of another process":       {newIssuer(t, []byte("another process' key")), time.Hour, one, v, Invalid},
+		"truncated":                {m, time.Hour, one, v[:ValueSize-1], Invalid},
+		"none":                     {m, time.Hour, one, nil, Invalid},
+		"with its time changed":    {m, time.Hour, one, append([]byte{1}, v[1:]...), Invalid},
+		"issued to another client": {m, time.Hour, one, m.Value(time.Hour, other), Invalid},
 	} {
 		if got := c.m.Check(c.now, c.peer, c.value); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
-	if _, err := New(key[:15], time.Minute); err == nil {
-		t.Error("a short key was taken")
+	if _, err := New(key[:15], time.Minute); !errors.Is(err, ErrShortKey) {
+		t.Errorf("a short key: %v, want %v", err, ErrShortKey)
 	}
-	if _, err := New(key, 0); err == nil {
-		t.Error("an age of 0 was taken")
+	if _, err := New(key, 0); !errors.Is(err, ErrLifetime) {
+		t.Errorf("a lifetime of 0: %v, want %v", err, ErrLifetime)
 	}
 }
 
-// No value but the one that was given, bit for bit, is fresh.
+// A value with any bit changed is invalid.
 func TestForgeries(t *testing.T) {
-	m := maker(t, key)
+	m := newIssuer(t, key)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(24*time.Hour)).Draw(t, "now"))
 		v := m.Value(now, one)
 		i, bit := rapid.IntRange(0, ValueSize-1).Draw(t, "byte"), rapid.IntRange(0, 7).Draw(t, "bit")
 		v[i] ^= 1 << bit
 		if m.Check(now, one, v) != Invalid {
-			t.Fatalf("bit %d of byte %d changed, and it passes", bit, i)
+			t.Fatalf("bit %d of byte %d changed, and it is not invalid", bit, i)
 		}
 	})
 }
--- a/internal/coap/echo/wire_test.go
+++ b/internal/coap/echo/wire_test.go
@@ -12,7 +12,7 @@
 // TestValueOnTheWire compares a value with the one in testdata/value.txt: a process
 // that takes over the key verifies the values of the process before it.
 func TestValueOnTheWire(t *testing.T) {
-	m := maker(t, key)
+	m := newIssuer(t, key)
 	var list strings.Builder
 	for _, peer := range []netip.AddrPort{one, netip.MustParseAddrPort("[2001:db8::1]:5683")} {
 		value := m.Value(25*time.Hour+123*time.Millisecond, peer)
