--- a/internal/coap/block/block_test.go
+++ b/internal/coap/block/block_test.go
@@ -16,15 +16,15 @@
 	return Limits{MaxTransfers: 4, MaxBodySize: 64 << 10, MaxTotalSize: 128 << 10, IdleTimeout: time.Minute, MaxBlockSize: 1024}
 }
 
-func part(num uint32, more bool, size int, payload []byte) *message.Message {
+func uploadBlock(num uint32, more bool, size int, payload []byte) *message.Message {
 	m := &message.Message{Code: message.POST, Payload: payload}
 	m.Add(message.URIPath, []byte("join"))
 	m.AddBlock(message.Block1, message.Block{Num: num, More: more, Size: size})
 	return m
 }
 
-// Any body goes up and comes down whole, whatever sizes the sides want.
-func TestBothWays(t *testing.T) {
+// Any body is uploaded and downloaded complete, whatever block sizes the sides prefer.
+func TestUploadAndDownload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := bytes.Repeat([]byte("0123456789abcdefg"), 4000)[:rapid.IntRange(1, 64<<10).Draw(t, "length")]
 		sizes := []int{16, 64, 256, 1024}
@@ -41,11 +41,11 @@
 				t.Fatal("the upload does not end")
 			}
 			payload, b := u.Block()
-			p := r.Receive(0, "k", part(b.Num, b.More, b.Size, payload))
+			p := r.Receive(0, "k", uploadBlock(b.Num, b.More, b.Size, payload))
 			if p.Complete {
 				got = p.Body
 				if !u.IsLast() {
-					t.Fatal("whole before the last block")
+					t.Fatal("complete before the last block")
 				}
 				break
 			}
@@ -56,10 +56,10 @@
 			}
 		}
 		if !bytes.Equal(got, body) {
-			t.Fatalf("%d bytes came of %d", len(got), len(body))
+			t.Fatalf("%d bytes received of %d", len(got), len(body))
 		}
 		if n, held := r.InFlight(); n != 0 || held != 0 {
-			t.Fatalf("%d transfers with %d bytes are left", n, held)
+			t.Fatalf("%d transfers with %d bytes are in flight", n, held)
 		}
 
 		s, _ := NewSender(lim)
@@ -84,26 +84,26 @@
 			req.AddBlock(message.Block2, next)
 			var ok bool
 			if resp, ok = s.NextBlock(0, "k", req); !ok {
-				t.Fatalf("block %+v was not kept", next)
+				t.Fatalf("block %+v was not cached", next)
 			}
 		}
 		if !bytes.Equal(d.Body(), body) {
-			t.Fatalf("%d bytes came down of %d", len(d.Body()), len(body))
+			t.Fatalf("%d bytes downloaded of %d", len(d.Body()), len(body))
 		}
 	})
 }
 
-func TestReceiverTurnsAway(t *testing.T) {
+func TestReceiverRejects(t *testing.T) {
 	full := make([]byte, 1024)
 	for _, c := range []struct {
 		name  string
 		parts []*message.Message
 		want  message.Code
 	}{
-		{"a block out of order", []*message.Message{part(0, true, 1024, full), part(2, true, 1024, full)}, message.RequestEntityIncomplete},
-		{"one with no beginning", []*message.Message{part(1, true, 1024, full)}, message.RequestEntityIncomplete},
-		{"one that is not full", []*message.Message{part(0, true, 1024, full[:1000])}, message.BadRequest},
-		{"one that is too full", []*message.Message{part(0, false, 16, full)}, message.BadRequest},
+		{"a block out of order", []*message.Message{uploadBlock(0, true, 1024, full), uploadBlock(2, true, 1024, full)}, message.RequestEntityIncomplete},
+		{"one with no beginning", []*message.Message{uploadBlock(1, true, 1024, full)}, message.RequestEntityIncomplete},
+		{"one that is not full", []*message.Message{uploadBlock(0, true, 1024, full[:1000])}, message.BadRequest},
+		{"one that is too full", []*message.Message{uploadBlock(0, false, 16, full)}, message.BadRequest},
 		{"the reserved size", []*message.Message{{Code: message.POST, Options: []message.Option{{Number: message.Block1, Value: []byte{7}}}}}, message.BadRequest},
 	} {
 		r, _ := NewReceiver(limits())
@@ -115,52 +115,52 @@
 			t.Errorf("%s: %v", c.name, got.Code)
 		}
 		if n, _ := r.InFlight(); n != 0 {
-			t.Errorf("%s: %d transfers are left", c.name, n)
+			t.Errorf("%s: %d transfers are in flight", c.name, n)
 		}
 	}
-	// One that says beforehand that it is too large, and one that never ends.
+	// A body that is announced as too large, and one that becomes too large.
 	r, _ := NewReceiver(limits())
-	m := part(0, true, 1024, full)
+	m := uploadBlock(0, true, 1024, full)
 	m.AddUint(message.Size1, 1<<20)
 	if p := r.Receive(0, "k", m); p.Code != message.RequestEntityTooLarge || p.MaxBodySize != 64<<10 {
 		t.Errorf("announced: %+v", p)
 	}
 	for i := uint32(0); ; i++ {
-		p := r.Receive(0, "k", part(i, true, 1024, full))
+		p := r.Receive(0, "k", uploadBlock(i, true, 1024, full))
 		if p.Code == message.RequestEntityTooLarge {
 			if i != 64 {
-				t.Errorf("turned away at block %d", i)
+				t.Errorf("rejected at block %d", i)
 			}
 			break
 		}
 		if i > 100 {
-			t.Fatal("it never ends")
+			t.Fatal("the body is never rejected")
 		}
 	}
 }
 
-// Transfers are bounded in number, bytes and time; the longest idle go first.
-func TestBounds(t *testing.T) {
+// Transfers are bounded in number, bytes and time; those idle for longest are abandoned first.
+func TestLimits(t *testing.T) {
 	r, _ := NewReceiver(limits())
 	for i := range 10 {
-		r.Receive(time.Duration(i)*time.Second, fmt.Sprint(i), part(0, true, 1024, make([]byte, 1024)))
+		r.Receive(time.Duration(i)*time.Second, fmt.Sprint(i), uploadBlock(0, true, 1024, make([]byte, 1024)))
 	}
 	if n, held := r.InFlight(); n != 4 || held != 4096 || r.Abandoned != 6 {
-		t.Errorf("%d transfers, %d bytes, %d given up", n, held, r.Abandoned)
+		t.Errorf("%d transfers, %d bytes, %d abandoned", n, held, r.Abandoned)
 	}
-	if p := r.Receive(10*time.Second, "9", part(1, true, 1024, make([]byte, 1024))); p.Code != message.Continue {
-		t.Errorf("the latest was given up: %v", p.Code)
+	if p := r.Receive(10*time.Second, "9", uploadBlock(1, true, 1024, make([]byte, 1024))); p.Code != message.Continue {
+		t.Errorf("the latest was abandoned: %v", p.Code)
 	}
-	if p := r.Receive(10*time.Second, "0", part(1, true, 1024, make([]byte, 1024))); p.Code != message.RequestEntityIncomplete {
-		t.Errorf("the oldest was kept: %v", p.Code)
+	if p := r.Receive(10*time.Second, "0", uploadBlock(1, true, 1024, make([]byte, 1024))); p.Code != message.RequestEntityIncomplete {
+		t.Errorf("the oldest is still in flight: %v", p.Code)
 	}
-	r.Receive(5*time.Minute, "x", part(0, true, 16, make([]byte, 16)))
+	r.Receive(5*time.Minute, "x", uploadBlock(0, true, 16, make([]byte, 16)))
 	if n, held := r.InFlight(); n != 1 || held != 16 {
 		t.Errorf("after five minutes: %d transfers, %d bytes", n, held)
 	}
 	s, _ := NewSender(limits())
 	if resp := s.FirstBlock(0, "k", &message.Message{}, message.Message{Code: message.Content, Payload: make([]byte, 65<<10)}); resp.Code != message.InternalServerError {
-		t.Errorf("an answer over the bound: %v", resp.Code)
+		t.Errorf("a response over the limit: %v", resp.Code)
 	}
 }
 
@@ -179,8 +179,8 @@
 		{"another block", []*message.Message{answer(0, true, 16, 16, "a"), answer(2, true, 16, 16, "a")}, ErrUnexpectedBlock},
 		{"a changed body", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "b")}, ErrBodyChanged},
 		{"a block that is not full", []*message.Message{answer(0, true, 16, 10, "a")}, ErrMalformedBlock},
-		{"a body over the bound", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "a"), answer(2, false, 16, 16, "a")}, ErrBodyTooLarge},
-		{"no block behind a block", []*message.Message{answer(0, true, 16, 16, "a"), {Code: message.Content}}, ErrUnexpectedBlock},
+		{"a body over the limit", []*message.Message{answer(0, true, 16, 16, "a"), answer(1, true, 16, 16, "a"), answer(2, false, 16, 16, "a")}, ErrBodyTooLarge},
+		{"no block option after a block", []*message.Message{answer(0, true, 16, 16, "a"), {Code: message.Content}}, ErrUnexpectedBlock},
 	} {
 		d := NewDownload(40)
 		var err error
@@ -200,12 +200,12 @@
 	}
 }
 
-// Two transfers that differ in anything but the block are two.
-func TestKeys(t *testing.T) {
-	base := part(0, true, 16, nil)
-	tagged := part(0, true, 16, nil)
+// Requests that differ in anything but the block option belong to different transfers.
+func TestKey(t *testing.T) {
+	base := uploadBlock(0, true, 16, nil)
+	tagged := uploadBlock(0, true, 16, nil)
 	tagged.Add(message.RequestTag, []byte("1"))
-	other := part(3, false, 64, nil)
+	other := uploadBlock(3, false, 64, nil)
 	if Key("a", base) != Key("a", other) {
 		t.Error("blocks of one transfer have two keys")
 	}
@@ -224,8 +224,28 @@
 				t.Fatalf("%d bytes", len(p.Body))
 			}
 			if _, held := r.InFlight(); held > 64 || held < 0 {
-				t.Fatalf("%d bytes held", held)
+				t.Fatalf("%d bytes in flight", held)
 			}
 		}
 	})
 }
+
+func TestLimitsOutOfRange(t *testing.T) {
+	for name, change := range map[string]func(*Limits){
+		"no transfer":               func(l *Limits) { l.MaxTransfers = 0 },
+		"no body":                   func(l *Limits) { l.MaxBodySize = 0 },
+		"less in total than a body": func(l *Limits) { l.MaxTotalSize = l.MaxBodySize - 1 },
+		"no idle timeout":           func(l *Limits) { l.IdleTimeout = 0 },
+		"a small block":             func(l *Limits) { l.MaxBlockSize = 15 },
+		"a large block":             func(l *Limits) { l.MaxBlockSize = 1025 },
+	} {
+		lim := limits()
+		change(&lim)
+		if _, err := NewReceiver(lim); !errors.Is(err, ErrLimits) {
+			t.Errorf("%s: receiver: %v, want %v", name, err, ErrLimits)
+		}
+		if _, err := NewSender(lim); !errors.Is(err, ErrLimits) {
+			t.Errorf("%s: sender: %v, want %v", name, err, ErrLimits)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coap/block/table.go
@@ -0,0 +1,112 @@
+package block
+
+import (
+	"time"
+
+	"otterspring/internal/coap/message"
+)
+
+// transfer is a body that is in flight at a server.
+type transfer struct {
+	key       string
+	body      []byte
+	lastBlock time.Duration    // time of the latest block
+	code      message.Code     // of the response, where that is sent in blocks
+	options   []message.Option // of the response
+	older     *transfer        // links of the list in the table
+	newer     *transfer
+}
+
+// table holds the transfers in flight, in a list ordered by the time of their latest
+// block.
+type table struct {
+	limits Limits
+	byKey  map[string]*transfer
+	oldest *transfer
+	newest *transfer
+	size   int // bytes of all bodies
+
+	Rejected  int // transfers over a limit, so far
+	Abandoned int // transfers dropped when idle, or in favor of others, so far
+}
+
+func newTable(limits Limits) (*table, error) {
+	if err := limits.validate(); err != nil {
+		return nil, err
+	}
+	return &table{limits: limits, byKey: map[string]*transfer{}}, nil
+}
+
+// InFlight returns how many transfers are in flight and how many bytes they hold.
+func (t *table) InFlight() (transfers, bytes int) { return len(t.byKey), t.size }
+
+// contains reports whether the transfer is in the table.
+func (t *table) contains(entry *transfer) bool { return t.byKey[entry.key] == entry }
+
+// unlink removes a transfer from the list.
+func (t *table) unlink(entry *transfer) {
+	if entry.older != nil {
+		entry.older.newer = entry.newer
+	} else {
+		t.oldest = entry.newer
+	}
+	if entry.newer != nil {
+		entry.newer.older = entry.older
+	} else {
+		t.newest = entry.older
+	}
+	entry.older, entry.newer = nil, nil
+}
+
+// touch adds a transfer, or marks it as the latest.
+func (t *table) touch(now time.Duration, entry *transfer) {
+	if t.contains(entry) {
+		t.unlink(entry)
+	}
+	t.byKey[entry.key] = entry
+	entry.lastBlock, entry.older, entry.newer = now, t.newest, nil
+	if t.newest != nil {
+		t.newest.newer = entry
+	} else {
+		t.oldest = entry
+	}
+	t.newest = entry
+}
+
+// remove removes a transfer, if it is in the table.
+func (t *table) remove(entry *transfer) {
+	if !t.contains(entry) {
+		return
+	}
+	t.unlink(entry)
+	delete(t.byKey, entry.key)
+	t.size -= len(entry.body)
+}
+
+// expire abandons the transfers that have been idle for too long.
+func (t *table) expire(now time.Duration) {
+	for t.oldest != nil && now-t.oldest.lastBlock >= t.limits.IdleTimeout {
+		t.Abandoned++
+		t.remove(t.oldest)
+	}
+}
+
+// reserve frees capacity for further bytes of a transfer, by abandoning others in the order
+// of their latest block. It returns false where the limits do not permit the bytes.
+func (t *table) reserve(entry *transfer, bytes int) bool {
+	if len(entry.body)+bytes > t.limits.MaxBodySize {
+		return false
+	}
+	for t.size+bytes > t.limits.MaxTotalSize || !t.contains(entry) && len(t.byKey) >= t.limits.MaxTransfers {
+		victim := t.oldest
+		if victim == entry {
+			victim = entry.newer
+		}
+		if victim == nil {
+			return false
+		}
+		t.Abandoned++
+		t.remove(victim)
+	}
+	return true
+}
--- a/internal/coap/block/wire_test.go
+++ b/internal/coap/block/wire_test.go
@@ -32,7 +32,7 @@
 	u := NewUpload(body, 64)
 	for done := false; !done; {
 		payload, b := u.Block()
-		request := part(b.Num, b.More, b.Size, payload)
+		request := uploadBlock(b.Num, b.More, b.Size, payload)
 		fmt.Fprintf(&list, "key %x\n", Key("peer", request))
 		datagram("request", *request)
 		p := r.Receive(0, "k", request)
@@ -67,7 +67,7 @@
 		datagram("request", request)
 		var found bool
 		if response, found = s.NextBlock(0, "k", &request); !found {
-			t.Fatalf("block %+v was not kept", next)
+			t.Fatalf("block %+v was not cached", next)
 		}
 	}
 	want, err := os.ReadFile("testdata/transfer.txt")
