--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -69,8 +69,8 @@
 	if len(args) > 0 && args[0] == rig.ReaperWord {
 		return rig.Reap(os.Stdin)
 	}
-	if len(args) > 0 && args[0] == scale.HollowWord {
-		return scale.RunHollow(os.Stdin, os.Stdout, os.Stderr)
+	if len(args) > 0 && args[0] == scale.SimulatorCommand {
+		return scale.RunSimulator(os.Stdin, os.Stdout, os.Stderr)
 	}
 	if len(args) > 0 && args[0] == proxyWord {
 		return runProxy(args[1:])
