--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -14,25 +14,25 @@
 // capacityBalancer returns a balancer that holds a list of a size.
 func capacityBalancer(b *testing.B, servers int, warmKeys bool) (*Balancer, []Server) {
 	b.Helper()
-	settings := site()
-	settings.WarmKeys = warmKeys
+	settings := testSettings()
+	settings.KeyAffinity = warmKeys
 	balancer, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := fleet(servers)
-	balancer.Members(time.Second, ListFull, list, nil)
+	list := testServers(servers)
+	balancer.Endpoints(time.Second, ListFull, list, nil)
 	return balancer, list
 }
 
 // BenchmarkServerRestart is what it costs to be told of one server's restart: it
-// drains, leaves and comes back cold, each in a list of its own. No request is decided
+// drains, leaves and comes back in warm-up, each in a list of its own. No request is decided
 // on meanwhile. The three steps are reported each by itself.
 func BenchmarkServerRestart(b *testing.B) {
 	steps := []struct {
 		name  string
 		state ServerState
-	}{{"drain-ns", Draining}, {"leave-ns", Gone}, {"return-ns", Ready}}
+	}{{"drain-ns", Draining}, {"leave-ns", Removed}, {"return-ns", Ready}}
 	for _, warmKeys := range []bool{false, true} {
 		for _, servers := range capacitySizes {
 			b.Run(fmt.Sprintf("keys=%t/servers=%d", warmKeys, servers), func(b *testing.B) {
@@ -44,9 +44,9 @@
 					now += time.Second
 					server := list[i%len(list)]
 					for k, step := range steps {
-						server.State, server.Started = step.state, now
+						server.State, server.StartTime = step.state, now
 						begun := cost.CPU()
-						acts = balancer.Members(now, ListChange, []Server{server}, acts[:0])
+						acts = balancer.Endpoints(now, ListDelta, []Server{server}, acts[:0])
 						took[k] += cost.CPU() - begun
 					}
 				})
@@ -63,14 +63,14 @@
 	for _, warmKeys := range []bool{false, true} {
 		for _, servers := range capacitySizes {
 			b.Run(fmt.Sprintf("keys=%t/servers=%d", warmKeys, servers), func(b *testing.B) {
-				list := fleet(servers)
+				list := testServers(servers)
 				cost.Held(b, servers, "B/server", func() any {
-					held, err := New(site(), 1)
+					held, err := New(testSettings(), 1)
 					if err != nil {
 						b.Fatal(err)
 					}
-					held.set.WarmKeys = warmKeys
-					held.Members(time.Second, ListFull, list, nil)
+					held.settings.KeyAffinity = warmKeys
+					held.Endpoints(time.Second, ListFull, list, nil)
 					return held
 				})
 			})
--- a/balance/depth_test.go
+++ b/balance/depth_test.go
@@ -74,18 +74,19 @@
 	chainRate     = 60 // calls a second
 )
 
-func newCallChain(t testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
+func newCallChain(tb testing.TB, depth int, fails time.Duration, way chainWay) *callChain {
+	tb.Helper()
 	c := &callChain{fails: fails, way: way, calls: map[string]*chainCall{}}
-	settings := site()
-	settings.CanCopy = false
-	settings.Classes = []Class{{Name: "read", Aim: chainDeadline, Deadline: chainDeadline, Worth: 1, Effect: Repeat}}
+	settings := testSettings()
+	settings.CanHedge = false
+	settings.Classes = []Class{{Name: "read", LatencyObjective: chainDeadline, Deadline: chainDeadline, PriorityWeight: 1, Idempotency: Idempotent}}
 	for hop := range depth {
 		b, err := New(settings, uint64(hop+1))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		c.hops = append(c.hops, b)
-		c.take(hop, b.Members(0, ListFull, fleet(chainServers), nil))
+		c.take(hop, b.Endpoints(0, ListFull, testServers(chainServers), nil))
 	}
 	return c
 }
@@ -95,7 +96,7 @@
 	heap.Push(&c.events, chainEvent{at, c.serial, do})
 }
 
-// run plays until a time.
+// failures plays until a time.
 func (c *callChain) run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		event := heap.Pop(&c.events).(chainEvent)
@@ -147,7 +148,7 @@
 	}
 }
 
-// end answers a call, for the hop above.
+// answer answers a call, for the hop above.
 func (c *callChain) end(id string, status Status) {
 	call := c.calls[id]
 	if call == nil {
@@ -167,7 +168,7 @@
 			c.at(c.now+act.Wait, func() { c.take(hop, c.hops[hop].Timer(c.now, act.Token, nil)) })
 		case Send:
 			c.call(hop+1, act.Request, act.Number, c.now+act.Wait)
-		case Refuse, Fail:
+		case Reject, Fail:
 			// In turn, not at once: the balancer is still giving its actions.
 			c.at(c.now, func() { c.end(act.Request, Error) })
 		}
@@ -176,9 +177,10 @@
 
 // multiplied is how many times its usual load the deepest service gets in the first
 // second in which it fails, and in the first ten.
-func multiplied(t testing.TB, depth int, way chainWay) (second, window float64) {
+func multiplied(tb testing.TB, depth int, way chainWay) (second, window float64) {
+	tb.Helper()
 	const fails = 20 * time.Second
-	c := newCallChain(t, depth, fails, way)
+	c := newCallChain(tb, depth, fails, way)
 	for i := range 30 * chainRate {
 		c.at(time.Duration(i)*time.Second/chainRate, func() { c.call(0, "", 0, c.now+chainDeadline) })
 	}
