--- a/internal/fleet/supervisor/coordination.go
+++ b/internal/fleet/supervisor/coordination.go
@@ -196,15 +196,14 @@
 	return err == nil
 }
 
-// decodeHostRecords reads the records of hosts. One that is malformed is logged and
-// empty, so that its host counts as one that can't be contacted.
+// decodeHostRecords reads the records of hosts. One that is malformed is logged, and
+// holds what could be read of it.
 func (s *Supervisor) decodeHostRecords(texts map[string]json.RawMessage) map[string]hostRecord {
 	records := make(map[string]hostRecord, len(texts))
 	for host, text := range texts {
 		var record hostRecord
 		if err := json.Unmarshal(text, &record); err != nil {
 			s.log.Warn("malformed host record", "host", host, "error", err)
-			record = hostRecord{}
 		}
 		records[host] = record
 	}
