--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -6,11 +6,11 @@
 	"os"
 
 	"otterspring/internal/logging"
-	"otterspring/internal/wire"
+	"otterspring/internal/simprotocol"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.Serve(os.Stdin, os.Stdout); err != nil {
 		logging.New(os.Stderr, logging.Options{}).Error("wirehost ends", "why", err)
 		os.Exit(1)
 	}
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -237,7 +237,7 @@
 	{Name: "no-stall", File: "internal/sidecar/httpupstream/attempt.go", Breaks: "an answer that pauses is waited for without end",
 		Old: "stallTimeout = 300 * time.Millisecond", New: "stallTimeout = 300 * time.Second"},
 	{Name: "kept-for-ever", File: "internal/sidecar/httpupstream/pool.go", Breaks: "connections are used after their upstream has closed them",
-		Old: "max(settings.Idle-idleMargin, settings.Idle/2)", New: "100 * settings.Idle"},
+		Old: "max(settings.IdleTimeout-idleMargin, settings.IdleTimeout/2)", New: "100 * settings.IdleTimeout"},
 	{Name: "own-want-blamed", File: "internal/sidecar/httpupstream/attempt.go", Breaks: "a dial without a descriptor puts its server out",
 		Old: "\tif isLocalFault(err) {\n", New: "\tif isLocalFault(err) && a == nil {\n"},
 	{Name: "unsent-is-tried", File: "balance/pick.go", Breaks: "a server that nothing was sent to is not picked again, and its request is held to its end",
@@ -327,13 +327,13 @@
 		Old: "update.consecutiveFailures < c.config.PauseAfterFailures {", New: "update.consecutiveFailures < 1000*c.config.PauseAfterFailures {"},
 
 	// The simulator's wire.
-	{Name: "wire-effect", File: "internal/wire/settings.go", Breaks: "unsafe classes are read as safe to repeat",
+	{Name: "wire-effect", File: "internal/simprotocol/settings.go", Breaks: "unsafe classes are read as safe to repeat",
 		Old: `"single_shot": balance.NonIdempotent`, New: `"single_shot": balance.Idempotent`},
-	{Name: "group-guessed", File: "internal/wire/check.go", Breaks: "a keyed class without a group is taken for one that all servers keep",
-		Old: "case group == nil:", New: "case group == nil && i < 0:"},
-	{Name: "wire-reset", File: "internal/wire/wire.go", Breaks: "a reset is read as never written",
+	{Name: "group-guessed", File: "internal/simprotocol/validate.go", Breaks: "a keyed class without a group is taken for one that all servers keep",
+		Old: "case group == nil:", New: "case group == nil && slack < 0:"},
+	{Name: "wire-reset", File: "internal/simprotocol/events.go", Breaks: "a reset is read as never written",
 		Old: `"ABORTED": balance.Reset`, New: `"ABORTED": balance.PartialWrite`},
-	{Name: "wire-state", File: "internal/wire/wire.go", Breaks: "a server in a state that is not known is used",
+	{Name: "wire-state", File: "internal/simprotocol/events.go", Breaks: "a server in a state that is not known is used",
 		Old: "state = balance.Draining\n", New: "state = balance.Ready\n"},
 
 	// What the programs share.
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -13,7 +13,7 @@
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
 	"otterspring/internal/sidecar/httpupstream"
-	"otterspring/internal/wire"
+	"otterspring/internal/simprotocol"
 )
 
 // The sizes of docs/CAPACITY.md: today's list, and up to the whole fleet that is coming.
@@ -38,7 +38,7 @@
 // them.
 func capacityDispatcher(b *testing.B, warmKeys bool) *dispatch.Dispatcher {
 	b.Helper()
-	pool := httpupstream.New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 400)
+	pool := httpupstream.New(simprotocol.ConnectionSettings{IdleTimeout: 5 * time.Second, DialTimeout: time.Second}, 400)
 	eng, err := dispatch.New(dispatch.Settings{
 		Balance: balance.Settings{
 			MaxAttempts: 3, InitialCapacity: 0.2, WarmUpTime: 20 * time.Second, WarmUpOverloadMultiple: 3, KeyAffinity: warmKeys,
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,7 +14,7 @@
 	"otterspring/internal/sidecar/coapupstream"
 	"otterspring/internal/sidecar/discovery"
 	"otterspring/internal/sidecar/dispatch"
-	"otterspring/internal/wire"
+	"otterspring/internal/simprotocol"
 )
 
 // This file holds the names of the configuration file that RELAY_CONFIG names.
@@ -30,7 +30,7 @@
 	Sockets        int                   // limit of file descriptors
 	KnownEndpoints dispatch.EndpointList // the list as last known, possibly old
 	Settings       balance.Settings
-	Connections    wire.Conns
+	Connections    simprotocol.ConnectionSettings
 }
 
 // The least resources that a sidecar can work with.
@@ -114,14 +114,14 @@
 	if settings == nil || settings.Type() != fastjson.TypeObject {
 		return errors.New("expected an object")
 	}
-	if err := wire.Check(settings); err != nil {
+	if err := simprotocol.Validate(settings); err != nil {
 		return err
 	}
-	c.Settings, c.Connections = wire.Settings(settings), wire.ConnSettings(settings)
+	c.Settings, c.Connections = simprotocol.ParseSettings(settings), simprotocol.ParseConnectionSettings(settings)
 	if _, err := balance.New(c.Settings, c.Seed); err != nil {
 		return err
 	}
-	if c.Connections.Idle <= 0 || c.Connections.Dial <= 0 {
+	if c.Connections.IdleTimeout <= 0 || c.Connections.DialTimeout <= 0 {
 		return errors.New("limits.conn-idle-us and limits.dial-timeout-us: expected numbers above 0")
 	}
 	return nil
--- a/internal/sidecar/httpupstream/pool.go
+++ b/internal/sidecar/httpupstream/pool.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"otterspring/internal/sidecar/dispatch"
-	"otterspring/internal/wire"
+	"otterspring/internal/simprotocol"
 )
 
 const (
@@ -44,10 +44,10 @@
 }
 
 // New returns a pool of at most maxOpen connections.
-func New(settings wire.Conns, maxOpen int) *Pool {
+func New(settings simprotocol.ConnectionSettings, maxOpen int) *Pool {
 	return &Pool{
-		upstreams: map[*upstream]bool{}, maxOpen: maxOpen, dialTimeout: settings.Dial, LastByteDelay: lastByteDelay,
-		maxIdle: max(settings.Idle-idleMargin, settings.Idle/2),
+		upstreams: map[*upstream]bool{}, maxOpen: maxOpen, dialTimeout: settings.DialTimeout, LastByteDelay: lastByteDelay,
+		maxIdle: max(settings.IdleTimeout-idleMargin, settings.IdleTimeout/2),
 	}
 }
 
--- a/internal/sidecar/httpupstream/pool_test.go
+++ b/internal/sidecar/httpupstream/pool_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/wire"
+	"otterspring/internal/simprotocol"
 )
 
 // An idle connection is out of use some time before its upstream closes it: a request that
 // overlaps the close may have been executed.
 func TestIdleLimitIsBelowTheUpstreams(t *testing.T) {
 	for setting, want := range map[time.Duration]time.Duration{5 * time.Second: 4600 * time.Millisecond, 500 * time.Millisecond: 250 * time.Millisecond} {
-		if got := New(wire.Conns{Idle: setting}, 8).maxIdle; got != want {
+		if got := New(simprotocol.ConnectionSettings{IdleTimeout: setting}, 8).maxIdle; got != want {
 			t.Errorf("upstreams close after %v: found a limit of %v, wanted %v", setting, got, want)
 		}
 	}
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	pool := New(wire.Conns{Idle: 5 * time.Second}, 8)
+	pool := New(simprotocol.ConnectionSettings{IdleTimeout: 5 * time.Second}, 8)
 	u := &upstream{address: listener.Addr().String()}
 	open := func() *conn {
 		connection, err := net.Dial("tcp", u.address)
@@ -57,7 +57,7 @@
 
 // Lack of the sidecar's own descriptors says nothing about the upstreams.
 func TestLocalFaultIsNotTheUpstreams(t *testing.T) {
-	pool := New(wire.Conns{Idle: 5 * time.Second, Dial: time.Second}, 0)
+	pool := New(simprotocol.ConnectionSettings{IdleTimeout: 5 * time.Second, DialTimeout: time.Second}, 0)
 	a := &attempt{upstream: pool.Open("127.0.0.1:1", 0).(*upstream)}
 	if c, status := a.connect(); c != nil || status != balance.NeverSent {
 		t.Errorf("without descriptors: found %v and status %d, wanted none and NeverSent", c, status)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -122,7 +122,7 @@
 	s.watcher = discovery.New(config.Discovery, !config.Settings.Subscribe, config.KnownEndpoints.Version, schemes...)
 	s.watcher.UseProxy(options.ListProxy, options.ListSource, options.FailoverDelay)
 	s.dispatcher, err = dispatch.New(dispatch.Settings{
-		Balance: config.Settings, Seed: config.Seed, DialTimeout: config.Connections.Dial, OpenUpstream: openUpstream,
+		Balance: config.Settings, Seed: config.Seed, DialTimeout: config.Connections.DialTimeout, OpenUpstream: openUpstream,
 	}, s.watcher.RequestList)
 	if err != nil {
 		return err
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -1,7 +1,8 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 )
@@ -29,18 +30,23 @@
 }
 
 func TestMalformedInputNamesItsLine(t *testing.T) {
-	tests := []struct{ name, in, want string }{
-		{"not JSON", begin + "{nope\n", "line 2: not JSON"},
-		{"not an object", "7\n", "line 1: not an object"},
-		{"unknown op", begin + start + `{"op":"sing","sidecar":3}` + "\n", `line 3: unknown op "sing"`},
-		{"not started", begin + ask, "line 2: event \"ask\" for instance 3"},
-		{"no table", begin + start + `{"op":"peers-known","sidecar":3,"mode":"FULL","table":9}` + "\n", "line 3: no census table 9"},
-		{"bad settings", begin + `{"op":"provision","sidecar":3,"salt":7,"info":{}}` + "\n", "line 2: balance: Classes"},
-	}
-	for _, tc := range tests {
-		err := Serve(strings.NewReader(tc.in), &bytes.Buffer{})
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: error %v, want %q", tc.name, err, tc.want)
+	for name, tc := range map[string]struct {
+		input  string
+		line   int
+		reason error
+		detail string
+	}{
+		"not JSON":      {begin + "{nope\n", 2, ErrMalformed, "not JSON"},
+		"not an object": {"7\n", 1, ErrMalformed, "wanted an object"},
+		"unknown op":    {begin + start + `{"op":"sing","sidecar":3}` + "\n", 3, ErrUnknownName, `op "sing"`},
+		"not started":   {begin + ask, 2, ErrNotStarted, "event \"ask\" for instance 3"},
+		"no table":      {begin + start + `{"op":"peers-known","sidecar":3,"mode":"FULL","table":9}` + "\n", 3, ErrNoTable, "9"},
+		"bad settings":  {begin + `{"op":"provision","sidecar":3,"salt":7,"info":{}}` + "\n", 2, nil, "balance: Classes"},
+	} {
+		err := Serve(strings.NewReader(tc.input), &bytes.Buffer{})
+		var at *LineError
+		if !errors.As(err, &at) || at.Line != tc.line || tc.reason != nil && !errors.Is(err, tc.reason) || !strings.Contains(err.Error(), tc.detail) {
+			t.Errorf("%s: found %v, wanted line %d: %v: %s", name, err, tc.line, tc.reason, tc.detail)
 		}
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/simprotocol/format_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bufio"
@@ -27,9 +27,9 @@
 // describeInfo lists all that is read of start-up parameters.
 func describeInfo(v *fastjson.Value) string {
 	var out strings.Builder
-	s, c := Settings(v), ConnSettings(v)
-	fmt.Fprintln(&out, "check", Check(v))
-	fmt.Fprintln(&out, "connections", c.Idle, c.Dial)
+	s, c := ParseSettings(v), ParseConnectionSettings(v)
+	fmt.Fprintln(&out, "check", Validate(v))
+	fmt.Fprintln(&out, "connections", c.IdleTimeout, c.DialTimeout)
 	fmt.Fprintln(&out, s.QuotaExcessWeight, s.KeyAffinity, s.Subscribe, s.MaxAttempts, s.CanCancel, s.CanHedge, s.RetryAfter, s.IdleTimeout, s.CallInterval, s.InitialCapacity, s.WarmUpTime, s.WarmUpOverloadMultiple)
 	for _, c := range s.Classes {
 		fmt.Fprintln(&out, c.Name, c.LatencyObjective, c.ObjectivePerWork, c.Deadline, c.PriorityWeight, c.LatePriorityWeight, int(c.Idempotency), int(c.DedupScope), c.DedupWindow)
@@ -44,13 +44,19 @@
 func describeActions(t *testing.T) string {
 	t.Helper()
 	var out bytes.Buffer
-	h := &host{out: bufio.NewWriter(&out)}
+	a := &adapter{output: bufio.NewWriter(&out)}
 	for kind := balance.Send; kind <= balance.CloseIdle; kind++ {
-		h.write(5, &balance.Action{Kind: kind, Request: "r\"1", Server: "s", Number: 2, Wait: 1500 * time.Nanosecond, Token: 9})
+		if err := a.writeAction(5, &balance.Action{Kind: kind, Request: "r\"1", Server: "s", Number: 2, Wait: 1500 * time.Nanosecond, Token: 9}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := a.writeAction(5, &balance.Action{Kind: balance.Reject, Request: "r"}); err != nil {
+		t.Fatal(err)
+	}
+	if err := a.writeFault(6, "a \"quoted\" fault"); err != nil {
+		t.Fatal(err)
 	}
-	h.write(5, &balance.Action{Kind: balance.Reject, Request: "r"})
-	h.fault(6, "a \"quoted\" fault")
-	if err := h.out.Flush(); err != nil {
+	if err := a.output.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	return out.String()
