--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -39,11 +39,11 @@
 
 // Rules are the figures that the rules are held against.
 type Rules struct {
-	Grace       time.Duration // nothing new to a server later than this after the sidecar was told
-	Slack       time.Duration // every time limit is this much longer on sockets
-	ToldAfter   time.Duration // what discovery has to tell counts as told after this
-	TipMultiple float64       // a cold server falls over at this multiple of what it can do
-	TipFor      time.Duration // for this long
+	Grace       time.Duration `json:"Grace"`       // nothing new to a server later than this after the sidecar was told
+	Slack       time.Duration `json:"Slack"`       // every time limit is this much longer on sockets
+	ToldAfter   time.Duration `json:"ToldAfter"`   // what discovery has to tell counts as told after this
+	TipMultiple float64       `json:"TipMultiple"` // a cold server falls over at this multiple of what it can do
+	TipFor      time.Duration `json:"TipFor"`      // for this long
 }
 
 // Delft are the figures of the site delft-calls.
