--- a/cmd/rig/coap.go
+++ b/cmd/rig/coap.go
@@ -109,10 +109,10 @@
 	for _, err := range res.Errors {
 		fmt.Fprintln(out, "  ", err)
 	}
-	cpu := 1e6 * res.CPU.Seconds() / float64(max(1, rep.Asked))
+	cpu := 1e6 * res.CPU.Seconds() / float64(max(1, rep.Requests))
 	fmt.Fprintf(out, "mix=%s %s overflow=%d service_http=%.3f service_coap=%.3f jain=%.4f retransmits=%d dedup_hits=%d dropped=%d cpu_us_request=%.0f mb_most=%.1f errors=%d\n",
-		mix, rep.Line(), res.Overflow, res.HTTP.Share(), res.CoAP.Share(), res.Jain, res.Retransmits, res.DedupHits, res.Dropped, cpu, float64(res.PeakBytes)/(1<<20), len(res.Errors))
-	if rep.Broken() || len(res.Errors) > 0 {
+		mix, rep.Summary(), res.Overflow, res.HTTP.Share(), res.CoAP.Share(), res.Jain, res.Retransmits, res.DedupHits, res.Dropped, cpu, float64(res.PeakBytes)/(1<<20), len(res.Errors))
+	if rep.Violated() || len(res.Errors) > 0 {
 		return errRules
 	}
 	return nil
--- a/cmd/rig/fleet.go
+++ b/cmd/rig/fleet.go
@@ -109,12 +109,12 @@
 		res.Restarted, float64(res.PeakBytes)/(1<<20), 1000*res.CPU.Seconds()/length.Seconds()/float64(n),
 		res.GapAsked, 100*res.GapServed, ms(res.GapP99), 100*res.QuietServed, ms(res.QuietP99))
 	fmt.Fprintf(out, "instances=%d servers=%d mode=%s restarted=%d %s refused_conns=%d overflow=%d gap_p99_ms=%.1f quiet_p99_ms=%.1f service=%.3f mb_each=%.1f cpu_ms_s_each=%.1f errors=%d\n",
-		n, len(w.Servers), mode, res.Restarted, rep.Line(), res.RefusedConns, res.Overflow, ms(res.GapP99), ms(res.QuietP99), res.Service.Figure(),
+		n, len(w.Servers), mode, res.Restarted, rep.Summary(), res.RefusedConns, res.Overflow, ms(res.GapP99), ms(res.QuietP99), res.Service.Figure(),
 		float64(res.PeakBytes)/(1<<20), 1000*res.CPU.Seconds()/length.Seconds()/float64(n), len(res.Errors))
 	// The hand-over's promises: no connection refused and, where enough was asked
 	// to tell, a p99 near it within 1.5 times that of the rest.
 	slow := res.GapAsked >= 500 && float64(res.GapP99) > 1.5*float64(res.QuietP99)
-	if rep.Broken() || len(res.Errors) > 0 || mode == "handover" && (res.RefusedConns > 0 || slow) {
+	if rep.Violated() || len(res.Errors) > 0 || mode == "handover" && (res.RefusedConns > 0 || slow) {
 		return errRules
 	}
 	return nil
--- a/cmd/rig/judge.go
+++ b/cmd/rig/judge.go
@@ -84,7 +84,7 @@
 	}
 	slices.Sort(kinds)
 	return fmt.Sprintf("ops=%d unknown=%d %s unasked=%d owners_twice=%d late_tried=%d linearizable=%s went_back=%d overgiven=%d most_at_once=%d void=%d kinds=%d (%s)",
-		v.Ops, v.Unknown, v.Rules.Line(), v.Unasked, v.OwnersTwice, v.LateTried, linear, v.WentBack, v.Overgiven, v.MostAtOnce, len(v.Void), len(kinds), strings.Join(kinds, " "))
+		v.Ops, v.Unknown, v.Rules.Summary(), v.Unasked, v.OwnersTwice, v.LateTried, linear, v.WentBack, v.Overgiven, v.MostAtOnce, len(v.Void), len(kinds), strings.Join(kinds, " "))
 }
 
 // draw writes the pictures of a verdict into a folder.
--- a/cmd/rig/nemesis.go
+++ b/cmd/rig/nemesis.go
@@ -318,7 +318,7 @@
 	if n := len(p.verdict.Violations); n > 0 && !p.res.Broken() {
 		p.res.Rules["history"] = n // what only all of it shows: its line says broken, too
 	}
-	if a, b := rec.Report.Line(), p.verdict.Rules.Line(); len(rec.Void) == 0 && !p.res.Broken() && a != b {
+	if a, b := rec.Report.Summary(), p.verdict.Rules.Summary(); len(rec.Void) == 0 && !p.res.Broken() && a != b {
 		p.res.Void = append(p.res.Void, fmt.Sprintf("the run and its history differ: %s; %s", a, b))
 	}
 	return p, nil
--- a/cmd/rig/speed.go
+++ b/cmd/rig/speed.go
@@ -29,7 +29,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/clients"
@@ -470,7 +470,7 @@
 // open asks at a rate drawn ahead, and takes CPU and latency.
 func (s *speed) open(ctx context.Context, addr string, pid int, rate float64, at int, m *measured) error {
 	classes := rig.Classes(1)[:1]
-	cl := clients.New(clients.Config{Instance: "n1", Addr: addr, Classes: classes, Most: 300, Seed: s.opt.seed}, audit.New(audit.Delft()))
+	cl := clients.New(clients.Config{Instance: "n1", Addr: addr, Classes: classes, Most: 300, Seed: s.opt.seed}, invariant.New(invariant.DelftRules()))
 	plan, err := clients.Draw(clients.Shape{Rate: rate, For: s.opt.phase, Keys: 3000, Skew: 0.7}, classes, s.opt.seed)
 	if err != nil {
 		return err
--- a/cmd/rig/try.go
+++ b/cmd/rig/try.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/rig"
 	"otterspring/internal/lab/standin/clients"
 )
@@ -49,8 +49,8 @@
 		rep := w.Log.Report()
 		printService(out, &res.Service)
 		printRules(out, &rep)
-		fmt.Fprintf(out, "%s refused_conns=%d service=%.3f\n", rep.Line(), res.RefusedConns, res.Service.Figure())
-		if rep.Broken() {
+		fmt.Fprintf(out, "%s refused_conns=%d service=%.3f\n", rep.Summary(), res.RefusedConns, res.Service.Figure())
+		if rep.Violated() {
 			return errRules
 		}
 		return nil
@@ -73,7 +73,7 @@
 }
 
 // printRules prints the four rules.
-func printRules(out io.Writer, r *audit.Report) {
+func printRules(out io.Writer, r *invariant.Report) {
 	line := func(rule string, n int, detail string) {
 		word := "kept"
 		if n > 0 {
@@ -81,11 +81,11 @@
 		}
 		fmt.Fprintf(out, "%-32s %s%s\n", rule, word, detail)
 	}
-	line("no request lost", r.Lost+r.Late+r.Forged+r.After, "")
-	line("no effect twice", r.Twice+r.Untrue, fmt.Sprintf(" (%d effects ran)", r.Effects))
-	line("drains kept", r.LateSends, "")
-	line("no cold server pushed over", r.Tipped, "")
-	for _, p := range r.Problems {
+	line("no request lost", r.Dropped+r.Late+r.Forged+r.SentAfterAnswer, "")
+	line("no effect twice", r.ExecutedTwice+r.RejectedAfterExecution, fmt.Sprintf(" (%d effects ran)", r.Effects))
+	line("drains kept", r.SentToDraining, "")
+	line("no cold server pushed over", r.Overloaded, "")
+	for _, p := range r.Violations {
 		fmt.Fprintln(out, "  "+p)
 	}
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/clients"
 )
 
@@ -308,10 +308,10 @@
 		{"recovered in time", `"recover_s <= 3"`, dip(18), nil, "kept"},
 		{"recovered too late", `"recover_s <= 3"`, dip(20), nil, "failed"},
 		{"never recovered", `"recover_s <= 100"`, dip(30), nil, "failed"},
-		{"a rule broke", "", all, func(r *Record) { r.Report.Twice = 1 }, "broken"},
-		{"a rule broke in a void run", "", all, func(r *Record) { r.Report.Lost, r.Void = 1, []string{"slow"} }, "broken"},
+		{"a rule broke", "", all, func(r *Record) { r.Report.ExecutedTwice = 1 }, "broken"},
+		{"a rule broke in a void run", "", all, func(r *Record) { r.Report.Dropped, r.Void = 1, []string{"slow"} }, "broken"},
 		{"clients slower than their load", `"service >= 0.1"`, all, func(r *Record) { r.Void = []string{"the clients were slower than their load"} }, "void"},
-		{"audit full", `"service >= 0.1"`, all, func(r *Record) { r.Report = audit.Report{Unwatched: 1} }, "void"},
+		{"audit full", `"service >= 0.1"`, all, func(r *Record) { r.Report = invariant.Report{Untracked: 1} }, "void"},
 		{"nothing asked in a phase", `"late: service >= 0.1"`, all, func(r *Record) { r.Samples = r.Samples[:1000] }, "void"},
 		{"nothing asked at all", "", all, func(r *Record) { r.Samples = nil }, "void"},
 		{"the budget was passed over", `"budget_over <= 0"`, all, func(r *Record) { r.Counts.BudgetOver = 1 }, "failed"},
--- a/internal/lab/experiment/storm.go
+++ b/internal/lab/experiment/storm.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/clients"
 	"otterspring/internal/strictconfig"
 )
@@ -391,7 +391,7 @@
 }
 
 // Effects are the words for what a repeat can do.
-var Effects = map[string]audit.Effect{"repeat": audit.Repeat, "keyed": audit.Keyed, "once": audit.Once}
+var Effects = map[string]invariant.Effect{"repeat": invariant.Idempotent, "keyed": invariant.IdempotentWithKey, "once": invariant.NonIdempotent}
 
 // ClientClasses are the classes as clients see them.
 func (s *Storm) ClientClasses() []clients.Class {
--- a/internal/lab/experiment/verdict.go
+++ b/internal/lab/experiment/verdict.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/clients"
 )
 
@@ -95,9 +95,9 @@
 // Record is what an engine saw of a run.
 type Record struct {
 	Engine  string
-	Samples []clients.Sample // due times from the start of the run
-	Seconds []audit.Second   // arrivals at servers, from the start of the run
-	Report  audit.Report
+	Samples []clients.Sample   // due times from the start of the run
+	Seconds []invariant.Second // arrivals at servers, from the start of the run
+	Report  invariant.Report
 	Counts  Counts
 	// Fleet are figures of all instances together that only an engine can see,
 	// by their names in Figures.
@@ -216,19 +216,19 @@
 	s := p.Storm
 	rep := &rec.Report
 	res := &Result{
-		Storm: s.Name, Hash: s.Hash, Engine: rec.Engine, Seed: p.Seed, Set: set, Void: slices.Clone(rec.Void), Skipped: rec.Skipped, Notes: rep.Problems,
+		Storm: s.Name, Hash: s.Hash, Engine: rec.Engine, Seed: p.Seed, Set: set, Void: slices.Clone(rec.Void), Skipped: rec.Skipped, Notes: rep.Violations,
 		Size:    fmt.Sprintf("%dx%d, %.0f/s, %v", s.World.Instances, s.World.Servers, s.Rate(), s.For),
 		Phases:  map[string]map[string]float64{},
 		Between: rec.Between,
-		Rules:   map[string]int{"lost": rep.Lost, "late": rep.Late, "forged": rep.Forged, "after": rep.After, "twice": rep.Twice, "untrue": rep.Untrue, "late_sends": rep.LateSends, "tipped": rep.Tipped},
+		Rules:   map[string]int{"lost": rep.Dropped, "late": rep.Late, "forged": rep.Forged, "after": rep.SentAfterAnswer, "twice": rep.ExecutedTwice, "untrue": rep.RejectedAfterExecution, "late_sends": rep.SentToDraining, "tipped": rep.Overloaded},
 		Figures: figures(s, rec, 0, s.For),
 	}
 	classes := s.ClientClasses()
 	res.Classes = clients.Judge(classes, rec.Samples).Classes
 	res.Figures["recover_s"] = recovered(s, rec)
-	res.Figures["unanswered"] = float64(rep.NoAnswer) / float64(max(1, rep.Asked))
-	res.Figures["cold_load"] = rep.ColdMost
-	res.Figures["cold_calls"] = rep.ColdCalls
+	res.Figures["unanswered"] = float64(rep.Unanswered) / float64(max(1, rep.Requests))
+	res.Figures["cold_load"] = rep.WarmupPeakLoad
+	res.Figures["cold_calls"] = rep.WarmupPeakCalls
 	res.Figures["ambiguous"] = float64(rep.Ambiguous)
 	whole := map[string]int{"budget_over": rec.Counts.BudgetOver, "budget_refused": rec.Counts.BudgetRefused, "own_ends": rec.Counts.OwnEnds}
 	for name, n := range whole {
@@ -267,19 +267,19 @@
 	if r := rec.Counts.Rude; r != nil && r.Sent > 0 {
 		res.Figures["rude_left"] = float64(r.Left) / float64(r.Sent)
 	}
-	res.Stake = map[string]float64{"ambiguous": float64(rep.Ambiguous), "cold_load": rep.ColdMost, "told_away": float64(rep.ToldAway),
-		"budget_refused": float64(max(0, rec.Counts.BudgetRefused)), "own_ends": float64(max(0, rec.Counts.OwnEnds)), "held": float64(rep.Held)}
+	res.Stake = map[string]float64{"ambiguous": float64(rep.Ambiguous), "cold_load": rep.WarmupPeakLoad, "told_away": float64(rep.RemovalsNotified),
+		"budget_refused": float64(max(0, rec.Counts.BudgetRefused)), "own_ends": float64(max(0, rec.Counts.OwnEnds)), "held": float64(rep.InFlightAtKill)}
 	if len(rec.Samples) == 0 {
 		res.Void = append(res.Void, "nothing was asked")
 	}
 	for _, ph := range s.Phases {
 		res.Phases[ph.Name] = figures(s, rec, ph.From.On(s.For), ph.To.On(s.For))
 	}
-	if rep.Unsure > 0 {
-		res.Void = append(res.Void, fmt.Sprintf("%d time limits were passed while the rig itself stood still, by no more than that: nobody can tell (%s)", rep.Unsure, first(rep.Unclear)))
+	if rep.Inconclusive > 0 {
+		res.Void = append(res.Void, fmt.Sprintf("%d time limits were passed while the rig itself stood still, by no more than that: nobody can tell (%s)", rep.Inconclusive, first(rep.InconclusiveDetails)))
 	}
-	if rep.Unwatched > 0 {
-		res.Void = append(res.Void, fmt.Sprintf("the audit was full: %d requests are held against nothing", rep.Unwatched))
+	if rep.Untracked > 0 {
+		res.Void = append(res.Void, fmt.Sprintf("the audit was full: %d requests are held against nothing", rep.Untracked))
 	}
 	res.holds(s)
 	res.Series = series(s, rec)
@@ -358,7 +358,7 @@
 	out["figure"] = 0.55*out["service"] + 0.35*out["worst10"] + 0.10*out["worst_class"]
 	firsts, repeats := 0, 0
 	for i := int(from / time.Second); i < len(rec.Seconds) && time.Duration(i)*time.Second < to; i++ {
-		firsts, repeats = firsts+rec.Seconds[i].Firsts, repeats+rec.Seconds[i].Repeats
+		firsts, repeats = firsts+rec.Seconds[i].FirstAttempts, repeats+rec.Seconds[i].Retries
 	}
 	out["retry_ratio"] = float64(repeats) / float64(max(1, firsts))
 	return out
@@ -591,7 +591,7 @@
 	}
 	for i, a := range rec.Seconds {
 		if i < n {
-			out[i].Firsts, out[i].Repeats, out[i].Cold = a.Firsts, a.Repeats, a.Cold
+			out[i].Firsts, out[i].Repeats, out[i].Cold = a.FirstAttempts, a.Retries, a.WarmupLoad
 		}
 	}
 	return out
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -20,7 +20,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/strictconfig"
 )
 
@@ -33,15 +33,15 @@
 
 // What an entry tells of beside what the audit takes.
 const (
-	Order   audit.Did = "order"   // To was told by Who to do Op; End and Result say how it went
-	Effect  audit.Did = "effect"  // Who did Op to To on behalf of the fleet, for Duty in epoch Number
-	Op      audit.Did = "op"      // Who did Op on Key: read, write, cas, take, check
-	Saw     audit.Did = "saw"     // Who held Number of Key: a list's index, an epoch
-	Grant   audit.Did = "grant"   // Who gave To Amount of Key until End
-	Limit   audit.Did = "limit"   // there is Amount of Key from now on
-	Fault   audit.Did = "fault"   // Op was brought in on Who, until End
-	Process audit.Did = "process" // Who: Op is started, ready, stopped, woken, ended, killed, said, or of the rig teardown
-	Void    audit.Did = "void"    // why the run shows nothing
+	Order   invariant.EventKind = "order"   // To was told by Who to do Op; End and Result say how it went
+	Effect  invariant.EventKind = "effect"  // Who did Op to To on behalf of the fleet, for Duty in epoch Number
+	Op      invariant.EventKind = "op"      // Who did Op on Key: read, write, cas, take, check
+	Saw     invariant.EventKind = "saw"     // Who held Number of Key: a list's index, an epoch
+	Grant   invariant.EventKind = "grant"   // Who gave To Amount of Key until End
+	Limit   invariant.EventKind = "limit"   // there is Amount of Key from now on
+	Fault   invariant.EventKind = "fault"   // Op was brought in on Who, until End
+	Process invariant.EventKind = "process" // Who: Op is started, ready, stopped, woken, ended, killed, said, or of the rig teardown
+	Void    invariant.EventKind = "void"    // why the run shows nothing
 )
 
 // How an order or an operation ended.
@@ -53,7 +53,7 @@
 
 // Entry is one thing that happened. Which fields it uses follows from Do.
 type Entry struct {
-	audit.Event
+	invariant.Event
 	End    time.Duration `json:"end,omitempty"` // when it was over; 0 for never, or not known
 	Result string        `json:"result,omitempty"`
 	Who    string        `json:"who,omitempty"`
@@ -71,12 +71,12 @@
 
 // Head says of what run a history is.
 type Head struct {
-	Version int         `json:"otterspring_history"`
-	Clock   string      `json:"clock"` // names the clock: two of them can't be compared
-	Storm   string      `json:"storm"`
-	Seed    uint64      `json:"seed"`
-	Rules   audit.Rules `json:"rules"`
-	Rude    bool        `json:"rude,omitempty"` // some clients ask what the history does not tell
+	Version int             `json:"otterspring_history"`
+	Clock   string          `json:"clock"` // names the clock: two of them can't be compared
+	Storm   string          `json:"storm"`
+	Seed    uint64          `json:"seed"`
+	Rules   invariant.Rules `json:"rules"`
+	Rude    bool            `json:"rude,omitempty"` // some clients ask what the history does not tell
 }
 
 // tail is the last line.
@@ -131,7 +131,7 @@
 }
 
 // Tap is Add for what an audit takes down.
-func (w *Writer) Tap(e audit.Event) { w.Add(Entry{Event: e}) }
+func (w *Writer) Tap(e invariant.Event) { w.Add(Entry{Event: e}) }
 
 // Close writes the end. It returns the first error of all writing.
 func (w *Writer) Close() error {
@@ -218,7 +218,7 @@
 			if err := json.Unmarshal(text, &e); err != nil {
 				return nil, bad(line, "", "an entry that can't be read", "numbers, strings and flags as this version writes them")
 			}
-			if !known[e.Do] {
+			if !known[e.Kind] {
 				return nil, bad(line, "do", strconv.Quote(probe.Do), "what this version knows")
 			}
 			e.Line = line
@@ -237,9 +237,9 @@
 // peekEnd tells whether nothing more follows.
 func peekEnd(sc *bufio.Scanner) bool { return !sc.Scan() }
 
-var known = map[audit.Did]bool{
-	audit.DidAsk: true, audit.DidAnswer: true, audit.DidBreak: true, audit.DidGo: true, audit.DidArrive: true, audit.DidRun: true, audit.DidTell: true,
-	audit.DidChange: true, audit.DidFallSilent: true, audit.DidRestart: true, audit.IsDying: true, audit.DidKill: true,
-	audit.DidStall: true, audit.DidCutOff: true, audit.IsExcused: true,
+var known = map[invariant.EventKind]bool{
+	invariant.KindRequestSent: true, invariant.KindAnswered: true, invariant.KindConnectionBroke: true, invariant.KindAbandoned: true, invariant.KindAttemptArrived: true, invariant.KindEffectExecuted: true, invariant.KindNotified: true,
+	invariant.KindEndpointChanged: true, invariant.KindDiscoveryUnavailable: true, invariant.KindRestarted: true, invariant.KindKillAnnounced: true, invariant.KindKilled: true,
+	invariant.KindSuspended: true, invariant.KindPartitioned: true, invariant.KindKillExcused: true,
 	Order: true, Effect: true, Op: true, Saw: true, Grant: true, Limit: true, Fault: true, Process: true, Void: true,
 }
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 const s = time.Second
@@ -16,7 +16,7 @@
 func written(t *testing.T, entries ...Entry) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	w := NewWriter(&b, Head{Clock: "c1", Storm: "test", Rules: audit.Delft()})
+	w := NewWriter(&b, Head{Clock: "c1", Storm: "test", Rules: invariant.DelftRules()})
 	for _, e := range entries {
 		w.Add(e)
 	}
@@ -35,40 +35,40 @@
 	return Judge(h)
 }
 
-func did(do audit.Did, at time.Duration, e Entry) Entry {
-	e.Do, e.At = do, at
+func did(do invariant.EventKind, at time.Duration, e Entry) Entry {
+	e.Kind, e.At = do, at
 	return e
 }
 
 // asked, served: one request that runs once.
 func request(id string, at time.Duration) []Entry {
 	return []Entry{
-		{Event: audit.Event{Do: audit.DidAsk, ID: id, Name: "n1", Effect: audit.Once, At: at, For: s}},
-		{Event: audit.Event{Do: audit.DidArrive, ID: id, Server: "s1", First: at, At: at, Work: 0.1, Can: 1, Full: 1}},
-		{Event: audit.Event{Do: audit.DidRun, ID: id, Server: "s1", Pod: "p1", At: at}},
-		{Event: audit.Event{Do: audit.DidAnswer, ID: id, Outcome: audit.Served, Yes: true, At: at + s/10}},
+		{Event: invariant.Event{Kind: invariant.KindRequestSent, RequestID: id, Instance: "n1", Effect: invariant.NonIdempotent, At: at, Timeout: s}},
+		{Event: invariant.Event{Kind: invariant.KindAttemptArrived, RequestID: id, Server: "s1", Start: at, At: at, Work: 0.1, Capacity: 1, WarmCapacity: 1}},
+		{Event: invariant.Event{Kind: invariant.KindEffectExecuted, RequestID: id, Server: "s1", Pod: "p1", At: at}},
+		{Event: invariant.Event{Kind: invariant.KindAnswered, RequestID: id, Outcome: invariant.Served, Flag: true, At: at + s/10}},
 	}
 }
 
 // What the audit says of a run it says of the run's history as well.
 func TestFourRulesFromTheFile(t *testing.T) {
 	if v := judged(t, request("a", 0)...); v.Broken() || v.Rules.Served != 1 {
-		t.Errorf("a good run: %s, %v", v.Rules.Line(), v.Violations)
+		t.Errorf("a good run: %s, %v", v.Rules.Summary(), v.Violations)
 	}
-	twice := append(request("a", 0), did(audit.DidRun, s, Entry{Event: audit.Event{ID: "a", Server: "s2", Pod: "p2"}}))
+	twice := append(request("a", 0), did(invariant.KindEffectExecuted, s, Entry{Event: invariant.Event{RequestID: "a", Server: "s2", Pod: "p2"}}))
 	v := judged(t, append(request("b", 0), twice...)...)
-	if v.Rules.Twice != 1 || len(v.Violations) != 1 || len(v.Violations[0].Shown) != 5 {
-		t.Errorf("an effect that ran twice: %s, %+v; wanted the five entries of it", v.Rules.Line(), v.Violations)
+	if v.Rules.ExecutedTwice != 1 || len(v.Violations) != 1 || len(v.Violations[0].Shown) != 5 {
+		t.Errorf("an effect that ran twice: %s, %+v; wanted the five entries of it", v.Rules.Summary(), v.Violations)
 	}
 	open := request("c", 0)[:1]
-	if v := judged(t, open...); v.Rules.Lost != 1 {
-		t.Errorf("a request without an end: %s", v.Rules.Line())
+	if v := judged(t, open...); v.Rules.Dropped != 1 {
+		t.Errorf("a request without an end: %s", v.Rules.Summary())
 	}
 }
 
 // The hard cases of the judge.
 func TestHardHistories(t *testing.T) {
-	v := judged(t, did(audit.DidRun, s, Entry{Event: audit.Event{ID: "ghost", Server: "s1", Pod: "p1"}}))
+	v := judged(t, did(invariant.KindEffectExecuted, s, Entry{Event: invariant.Event{RequestID: "ghost", Server: "s1", Pod: "p1"}}))
 	if v.Unasked != 1 || !v.Broken() {
 		t.Errorf("an effect that nobody asked for: %+v", v)
 	}
@@ -81,7 +81,7 @@
 			t.Fatalf("a history that was cut: %v, %d entries", err, len(h.Entries))
 		}
 		if v := Judge(h); v.Broken() || !v.Cut {
-			t.Errorf("a history that was cut: %s, cut=%v", v.Rules.Line(), v.Cut)
+			t.Errorf("a history that was cut: %s, cut=%v", v.Rules.Summary(), v.Cut)
 		}
 	}
 	second := strings.Replace(string(lines[0]), `"c1"`, `"c2"`, 1)
--- a/internal/lab/history/judge.go
+++ b/internal/lab/history/judge.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // Violation is one breach, with the entries that show it: the shortest stretch of
@@ -21,7 +21,7 @@
 
 // Verdict is what a judge found.
 type Verdict struct {
-	Rules       audit.Report
+	Rules       invariant.Report
 	Violations  []Violation
 	OwnersTwice int // effects of an owner that a later one's should have forbidden
 	LateTaken   int // those of them that were late: taken where a later one's had been
@@ -42,7 +42,7 @@
 
 // Broken tells whether anything that must hold did not.
 func (v *Verdict) Broken() bool {
-	return v.Rules.Broken() || len(v.Violations) > 0
+	return v.Rules.Violated() || len(v.Violations) > 0
 }
 
 // mostViolations bounds what is told of each rule.
@@ -70,20 +70,20 @@
 	for i := range h.Entries {
 		e := &h.Entries[i]
 		switch {
-		case e.Do == Void:
+		case e.Kind == Void:
 			v.Void = append(v.Void, e.Value)
-		case e.Do == Fault:
+		case e.Kind == Fault:
 			v.Kinds[e.Op]++
-		case (e.Do == Op || e.Do == Order) && e.Result == Unknown:
+		case (e.Kind == Op || e.Kind == Order) && e.Result == Unknown:
 			v.Unknown++
 		}
-		if e.Do == Op {
+		if e.Kind == Op {
 			v.Questions++
 		}
-		if e.Do == Op || e.Do == audit.DidAsk || e.Do == Order {
+		if e.Kind == Op || e.Kind == invariant.KindRequestSent || e.Kind == Order {
 			v.Ops++
 		}
-		if e.Do == Effect && e.Result == Refused {
+		if e.Kind == Effect && e.Result == Refused {
 			v.LateTried++
 		}
 	}
@@ -99,24 +99,24 @@
 // what shows each of its problems.
 func (v *Verdict) rules(h *History) {
 	var now time.Duration
-	log := audit.NewAt(h.Rules, func() time.Duration { return now })
+	log := invariant.NewWithClock(h.Rules, func() time.Duration { return now })
 	asked := map[string]bool{}
 	byID := map[string][]Entry{}
 	for _, e := range h.Entries {
 		now = max(now, e.At)
-		if log.Take(e.Event) != nil {
+		if log.Apply(e.Event) != nil {
 			continue
 		}
-		if e.ID == "" {
+		if e.RequestID == "" {
 			continue
 		}
-		byID[e.ID] = append(byID[e.ID], e)
-		switch e.Do {
-		case audit.DidAsk:
-			asked[e.ID] = true
-		case audit.DidRun:
-			if !asked[e.ID] && !h.Rude {
-				v.breach(&v.Unasked, "unasked", fmt.Sprintf("%s ran at %s, and no client asked for it", e.ID, e.Server), byID[e.ID]...)
+		byID[e.RequestID] = append(byID[e.RequestID], e)
+		switch e.Kind {
+		case invariant.KindRequestSent:
+			asked[e.RequestID] = true
+		case invariant.KindEffectExecuted:
+			if !asked[e.RequestID] && !h.Rude {
+				v.breach(&v.Unasked, "unasked", fmt.Sprintf("%s ran at %s, and no client asked for it", e.RequestID, e.Server), byID[e.RequestID]...)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 		now += time.Hour
 	}
 	v.Rules = log.Report()
-	for _, p := range v.Rules.Problems {
+	for _, p := range v.Rules.Violations {
 		id, _, _ := strings.Cut(p, ":")
 		ignored := 0
 		v.breach(&ignored, "four rules", p, byID[id]...)
@@ -151,7 +151,7 @@
 	under := map[string][]edge{}
 	var all []Entry
 	for _, e := range h.Entries {
-		if e.Do == Effect && e.Result != Refused {
+		if e.Kind == Effect && e.Result != Refused {
 			all = append(all, e)
 		}
 	}
@@ -216,7 +216,7 @@
 	type seen struct{ who, key string }
 	last := map[seen]Entry{}
 	for _, e := range h.Entries {
-		if e.Do != Saw {
+		if e.Kind != Saw {
 			continue
 		}
 		at := seen{e.Who, e.Key}
@@ -238,7 +238,7 @@
 	limit := map[string]Entry{}
 	open := map[string][]held{}
 	for _, e := range h.Entries {
-		switch e.Do {
+		switch e.Kind {
 		case Limit:
 			limit[e.Key] = e
 		case Grant:
@@ -269,7 +269,7 @@
 	byKey := map[string][]Entry{}
 	var keys []string
 	for _, e := range h.Entries {
-		if e.Do != Op {
+		if e.Kind != Op {
 			continue
 		}
 		if byKey[e.Key] == nil {
@@ -461,14 +461,14 @@
 // Words is an entry as one line for people.
 func (e *Entry) Words() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%12.6f s  %-9s", e.At.Seconds(), e.Do)
+	fmt.Fprintf(&b, "%12.6f s  %-9s", e.At.Seconds(), e.Kind)
 	add := func(name, value string) {
 		if value != "" {
 			fmt.Fprintf(&b, " %s=%s", name, value)
 		}
 	}
-	add("id", e.ID)
-	add("name", e.Name)
+	add("id", e.RequestID)
+	add("name", e.Instance)
 	add("who", e.Who)
 	add("to", e.To)
 	add("server", e.Server)
@@ -485,10 +485,10 @@
 	if e.Amount > 0 {
 		fmt.Fprintf(&b, " amount=%g", e.Amount)
 	}
-	if e.Do == audit.DidAnswer {
+	if e.Kind == invariant.KindAnswered {
 		fmt.Fprintf(&b, " %s", [...]string{"served", "refused", "failed"}[min(max(0, int(e.Outcome)), 2)])
 	}
-	if e.Yes {
+	if e.Flag {
 		fmt.Fprintf(&b, " yes")
 	}
 	if e.End > 0 {
--- /dev/null
+++ b/internal/lab/invariant/checker.go
@@ -0,0 +1,105 @@
+// Package invariant checks, from outside of the sidecar, that its four rules hold:
+// no request is dropped, no effect is executed twice, no request is sent to a
+// draining endpoint, and no server is overloaded during its slow start. The test
+// doubles on both sides of the sidecar report what passed on their sockets, and
+// a Checker compares the reports.
+//
+// All times are durations since the origin of one clock that all reporters
+// share (Checker.Now).
+package invariant
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// MaxRequests bounds the requests that a Checker tracks; those beyond are
+	// counted in Report.Untracked and checked against nothing.
+	MaxRequests = 2_000_000
+	// maxDetails bounds each list of texts in a Report.
+	maxDetails = 20
+	// maxSeconds bounds the seconds that are recorded.
+	maxSeconds = 4 * 3600
+	// maxSuspensions bounds the suspensions of the reporting process that are recorded.
+	maxSuspensions = 100_000
+)
+
+// serverKey is one incarnation of a call server.
+type serverKey struct {
+	name        string
+	incarnation int
+}
+
+// instance is what is known of one sidecar, over all its processes.
+type instance struct {
+	startedAt     time.Duration // start of the current process
+	notifications map[serverKey]endpointState
+	inFlight      map[string]*request // by request ID
+	killAnnounced bool
+	excusedUntil  time.Duration // a connection that breaks before then broke in a kill that was not announced
+	restarts      int
+}
+
+// Checker receives reports of what passed and checks them against the rules.
+//
+// It may be used by many goroutines and starts none. mu guards all fields below
+// it; the observer is called while mu is locked, so that it sees events in the order
+// in which they are checked.
+type Checker struct {
+	rules Rules
+	now   func() time.Duration
+
+	mu           sync.Mutex
+	requests     map[string]*request // by ID
+	instances    map[string]*instance
+	endpoints    map[serverKey]endpointState // the true list
+	warmups      map[serverKey][]warmupAttempt
+	overloaded   map[serverKey]bool
+	seconds      []Second
+	outages      []interval            // of discovery
+	partitions   map[string][]interval // of single instances from discovery
+	suspensions  []interval            // of the reporting process
+	disconnects  []disconnect
+	totalWork    float64 // of all attempts, in seconds
+	attemptCount int
+	report       Report // without its Violations
+	violations   []violation
+	observer     func(Event)
+}
+
+// New returns an empty Checker whose clock starts now.
+func New(rules Rules) *Checker {
+	origin := time.Now()
+	return NewWithClock(rules, func() time.Duration { return time.Since(origin) })
+}
+
+// NewWithClock returns an empty Checker that reads the caller's clock, which may
+// be simulated. now must be safe for concurrent use and must not call the Checker.
+func NewWithClock(rules Rules, now func() time.Duration) *Checker {
+	return &Checker{
+		rules: rules, now: now,
+		requests:   map[string]*request{},
+		instances:  map[string]*instance{},
+		endpoints:  map[serverKey]endpointState{},
+		warmups:    map[serverKey][]warmupAttempt{},
+		overloaded: map[serverKey]bool{},
+		partitions: map[string][]interval{},
+	}
+}
+
+// Rules returns the limits that are checked.
+func (c *Checker) Rules() Rules { return c.rules }
+
+// Now reads the Checker's clock.
+func (c *Checker) Now() time.Duration { return c.now() }
+
+// instance returns the record of an instance, a new one if there is none.
+func (c *Checker) instance(name string) *instance {
+	i := c.instances[name]
+	if i == nil {
+		i = &instance{notifications: map[serverKey]endpointState{}, inFlight: map[string]*request{}}
+		c.instances[name] = i
+	}
+	return i
+}
--- a/internal/lab/audit/wire_test.go
+++ b/internal/lab/invariant/wire_test.go
@@ -1,4 +1,4 @@
-package audit_test
+package invariant_test
 
 import (
 	"bytes"
@@ -8,15 +8,15 @@
 	"time"
 
 	"otterspring/internal/keytest"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // Histories are read by later versions of the rig: their keys stay.
 func TestKeysOfHistoriesStay(t *testing.T) {
 	t.Parallel()
 	keytest.Compare(t, "testdata/keys.txt", []keytest.Marshaled{
-		{Role: "event of a history", Encoding: "json", Value: audit.Event{}},
-		{Role: "rules at the head of a history", Encoding: "json", Value: audit.Rules{}},
+		{Role: "event of a history", Encoding: "json", Value: invariant.Event{}},
+		{Role: "rules at the head of a history", Encoding: "json", Value: invariant.Rules{}},
 	})
 }
 
@@ -31,13 +31,13 @@
 	if len(lines) != 16 {
 		t.Fatalf("%d lines, want the rules and 15 events", len(lines))
 	}
-	var rules audit.Rules
+	var rules invariant.Rules
 	if got := readBack(t, lines[0], &rules); !bytes.Equal(got, lines[0]) {
 		t.Errorf("rules: wrote back %s, read %s", got, lines[0])
 	}
 	var tapped [][]byte
-	log := audit.NewAt(rules, func() time.Duration { return time.Second })
-	log.Tap(func(event audit.Event) {
+	log := invariant.NewWithClock(rules, func() time.Duration { return time.Second })
+	log.Observe(func(event invariant.Event) {
 		line, err := json.Marshal(event)
 		if err != nil {
 			t.Error(err)
@@ -45,11 +45,11 @@
 		tapped = append(tapped, line)
 	})
 	for _, line := range lines[1:] {
-		var event audit.Event
+		var event invariant.Event
 		if got := readBack(t, line, &event); !bytes.Equal(got, line) {
 			t.Errorf("event: wrote back %s, read %s", got, line)
 		}
-		if err := log.Take(event); err != nil {
+		if err := log.Apply(event); err != nil {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
--- a/internal/lab/mutant/run.go
+++ b/internal/lab/mutant/run.go
@@ -54,7 +54,7 @@
 		"internal/sidecar":                 {"./internal/sidecar/entrypoint"},
 		"internal/sidecar/discovery/drain": {"./internal/sidecar"},
 		"internal/sidecar/handover":        {"./internal/sidecar/entrypoint"},
-		"internal/lab/audit":               {"./internal/lab/standin/clients"},
+		"internal/lab/invariant":           {"./internal/lab/standin/clients"},
 		"internal/fleet/supervisor":        {"./internal/lab/rig"},
 		"internal/fleet/lifecycle":         {"./internal/fleet/supervisor", "./internal/lab/rig"},
 		// The relays' tests are of several processes.
--- a/internal/lab/mutant/table.go
+++ b/internal/lab/mutant/table.go
@@ -390,8 +390,8 @@
 		Unseen: "the moment between the close of the socket and the note is some microseconds"},
 
 	// The lab's own: what a rig must not do itself.
-	{Name: "resends-after-a-kill", File: "internal/lab/audit/audit.go", Breaks: "a client sends what a killed sidecar held once more under its id",
-		Old: "\tresend = resend && !r.killed\n", New: ""},
+	{Name: "resends-after-a-kill", File: "internal/lab/invariant/requests.go", Breaks: "a client sends what a killed sidecar held once more under its id",
+		Old: "\tresend = resend && !r.inFlightAtKill\n", New: ""},
 	{Name: "own-clock-for-arrivals", File: "internal/lab/standin/stamp/stamp.go", Breaks: "arrivals have the time at which they were read, not the kernel's",
 		Old: "\tif d := time.Now().Round(0).Sub(r.at); d > 0 && d < mostAge {\n\t\treturn d\n\t}\n", New: ""},
 	{Name: "never-stood-still", File: "internal/fleet/supervisor/supervisor.go", Breaks: "a supervisor that wakes late holds its own sleep against its processes",
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
+	"otterspring/internal/lab/invariant"
 )
 
 func result(storm, engine string, seed uint64, service float64) *experiment.Result {
@@ -159,19 +159,19 @@
 		w.Add(e)
 	}
 	process := func(who, op string, pid uint64) history.Entry {
-		return history.Entry{Event: audit.Event{Do: history.Process}, Who: who, Op: op, Number: pid}
+		return history.Entry{Event: invariant.Event{Kind: history.Process}, Who: who, Op: op, Number: pid}
 	}
 	effect := func(who, to string, epoch uint64, result string) history.Entry {
-		return history.Entry{Event: audit.Event{Do: history.Effect}, Who: who, To: to, Duty: "roll", Op: "restart", Number: epoch, Result: result}
+		return history.Entry{Event: invariant.Event{Kind: history.Effect}, Who: who, To: to, Duty: "roll", Op: "restart", Number: epoch, Result: result}
 	}
 	for i := range 70 {
 		add(0, process(fmt.Sprintf("n%d", i+1), "started", uint64(100+i)))
 	}
 	add(0, process("f1", "started", 1))
 	add(0, process("f2", "started", 2))
-	add(0.5, history.Entry{Event: audit.Event{Do: history.Process}, Who: "f1", Op: "said", Value: "council: h1 owns roll under epoch 0.1"})
-	add(0.6, history.Entry{Event: audit.Event{Do: history.Process}, Who: "f2", Op: "said", Value: "hears of roll: h1 owns it"}) // no tenure of its own
-	add(1, history.Entry{Event: audit.Event{Do: history.Fault}, End: s(3), Who: "f1", Op: "stop-at", Value: "<point>"})
+	add(0.5, history.Entry{Event: invariant.Event{Kind: history.Process}, Who: "f1", Op: "said", Value: "council: h1 owns roll under epoch 0.1"})
+	add(0.6, history.Entry{Event: invariant.Event{Kind: history.Process}, Who: "f2", Op: "said", Value: "hears of roll: h1 owns it"}) // no tenure of its own
+	add(1, history.Entry{Event: invariant.Event{Kind: history.Fault}, End: s(3), Who: "f1", Op: "stop-at", Value: "<point>"})
 	add(1, process("f1", "stopped", 1))
 	add(2, effect("h2", "f2", 2, history.Done))
 	add(3, process("f1", "woken", 1))
--- a/internal/lab/report/timeline.go
+++ b/internal/lab/report/timeline.go
@@ -96,7 +96,7 @@
 	for _, e := range h.Entries {
 		k := one{e.Who, e.Number}
 		switch {
-		case e.Do == history.Process && e.Number > 0:
+		case e.Kind == history.Process && e.Number > 0:
 			switch e.Op {
 			case "started":
 				lives[k] = at(e.At)
@@ -113,7 +113,7 @@
 				over(k, at(e.At))
 				row(e.Who).seen++
 			}
-		case e.Do == history.Fault && e.Who != "":
+		case e.Kind == history.Fault && e.Who != "":
 			to := at(e.End)
 			if e.End <= e.At {
 				to = at(e.At) + 0.1
@@ -121,15 +121,15 @@
 			l := row(e.Who)
 			l.bars = append(l.bars, bar{at(e.At), min(to, end), disturbed, strings.TrimSpace(e.Op + " " + e.Value)})
 			l.seen += 2
-		case e.Do == history.Effect && e.To != "" && e.Number > 0:
+		case e.Kind == history.Effect && e.To != "" && e.Number > 0:
 			l := row(e.To)
 			l.ticks = append(l.ticks, tick{at(e.At), e.Result == history.Refused})
 			l.seen++
-		case e.Do == history.Process && e.Op == "said" && strings.Contains(e.Value, "council: ") && strings.Contains(e.Value, " owns "):
+		case e.Kind == history.Process && e.Op == "said" && strings.Contains(e.Value, "council: ") && strings.Contains(e.Value, " owns "):
 			l := row(e.Who)
 			l.bars = append(l.bars, bar{at(e.At), end, tenure, "owns"})
 			l.seen++
-		case e.Do == history.Process && e.Op == "said" && strings.Contains(e.Value, " ends epoch "):
+		case e.Kind == history.Process && e.Op == "said" && strings.Contains(e.Value, " ends epoch "):
 			l := row(e.Who)
 			for i := len(l.bars) - 1; i >= 0; i-- {
 				if l.bars[i].kind == tenure {
--- a/internal/lab/rig/between_test.go
+++ b/internal/lab/rig/between_test.go
@@ -117,8 +117,8 @@
 	if res.Between.Left != 0 {
 		t.Errorf("%d processes left behind", res.Between.Left)
 	}
-	if len(res.Void) == 0 && rec.Report.Line() != v.Rules.Line() {
-		t.Errorf("the run and its history differ:\n%s\n%s", rec.Report.Line(), v.Rules.Line())
+	if len(res.Void) == 0 && rec.Report.Summary() != v.Rules.Summary() {
+		t.Errorf("the run and its history differ:\n%s\n%s", rec.Report.Summary(), v.Rules.Summary())
 	}
 	return res, h, v
 }
@@ -164,7 +164,7 @@
 func count(h *history.History, who, op string) int {
 	n := 0
 	for _, e := range h.Entries {
-		if e.Do == history.Process && e.Who == who && e.Op == op {
+		if e.Kind == history.Process && e.Who == who && e.Op == op {
 			n++
 		}
 	}
@@ -229,10 +229,10 @@
 	}
 	var down, again time.Duration
 	for _, e := range h.Entries {
-		if e.Do == history.Fault && e.Op == "host-down" {
+		if e.Kind == history.Fault && e.Op == "host-down" {
 			down = e.At
 		}
-		if e.Do == history.Process && e.Who == "f2" && e.Op == "started" {
+		if e.Kind == history.Process && e.Who == "f2" && e.Op == "started" {
 			again = e.At
 		}
 	}
@@ -287,12 +287,12 @@
 		t.Errorf("kinds %v, wanted a stop at its point", res.Between.Kinds)
 	}
 	woke := false
-	ended := slices.IndexFunc(h.Entries, func(e history.Entry) bool { return e.Do == history.Process && e.Op == teardown })
+	ended := slices.IndexFunc(h.Entries, func(e history.Entry) bool { return e.Kind == history.Process && e.Op == teardown })
 	if ended < 0 {
 		t.Fatal("the history does not tell when the rig began to kill all")
 	}
 	for _, e := range h.Entries[:ended] {
-		if e.Do != history.Process || e.Op != "said" || e.Who != "f1" {
+		if e.Kind != history.Process || e.Op != "said" || e.Who != "f1" {
 			continue
 		}
 		event := parseSupervisorLine(e.Value)
@@ -529,7 +529,7 @@
 	}
 	saw := map[string]uint64{}
 	for _, e := range h.Entries {
-		if e.Do == history.Saw {
+		if e.Kind == history.Saw {
 			name, _, _ := strings.Cut(e.Who, "#")
 			saw[name] = max(saw[name], e.Number)
 		}
--- a/internal/lab/rig/coap_test.go
+++ b/internal/lab/rig/coap_test.go
@@ -42,15 +42,15 @@
 		t.Fatal(err)
 	}
 	rep := w.Log.Report()
-	t.Logf("%s; %d sent again, %d repeats met, %d lost by links", rep.Line(), res.Retransmits, res.DedupHits, res.Dropped)
+	t.Logf("%s; %d sent again, %d repeats met, %d lost by links", rep.Summary(), res.Retransmits, res.DedupHits, res.Dropped)
 	for _, err := range res.Errors {
 		t.Error(err)
 	}
-	if rep.Broken() {
-		t.Errorf("%v", rep.Problems)
+	if rep.Violated() {
+		t.Errorf("%v", rep.Violations)
 	}
-	if got := rep.Served + rep.Refused + rep.Failed + rep.NoAnswer + rep.Held; got != rep.Asked {
-		t.Errorf("%d ends for %d requests", got, rep.Asked)
+	if got := rep.Served + rep.Rejected + rep.Failed + rep.Unanswered + rep.InFlightAtKill; got != rep.Requests {
+		t.Errorf("%d ends for %d requests", got, rep.Requests)
 	}
 	return res
 }
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
+	"otterspring/internal/lab/invariant"
 )
 
 // disturb begins a fault between processes, or ends it. What takes time goes on
@@ -64,7 +64,7 @@
 
 // noteFault takes a fault down. The caller holds the mutex.
 func (h *hosts) noteFault(st experiment.Step, f *experiment.Fault, at, end time.Duration) {
-	h.note(history.Entry{Event: audit.Event{Do: history.Fault, At: at}, End: end, Who: st.Proc, Op: f.Kind, Value: f.Point + f.Disk + f.Peer + f.Order})
+	h.note(history.Entry{Event: invariant.Event{Kind: history.Fault, At: at}, End: end, Who: st.Proc, Op: f.Kind, Value: f.Point + f.Disk + f.Peer + f.Order})
 }
 
 // faultTargets notes a fault that took place at a point of the code, now that it ends: it
@@ -129,7 +129,7 @@
 		h.w.lagging(f.Late)
 		for i, in := range h.w.Instances {
 			if h.lags(i) {
-				h.w.Log.Deaf(in.Name, true, h.w.Log.Now())
+				h.w.Log.Partitioned(in.Name, true, h.w.Log.Now())
 			}
 		}
 		return true, nil
@@ -185,7 +185,7 @@
 		for i, in := range h.w.Instances {
 			if h.lags(i) {
 				// It catches up: what it had not told yet comes within its lag.
-				h.w.Log.Deaf(in.Name, false, h.w.Log.Now()+f.Late)
+				h.w.Log.Partitioned(in.Name, false, h.w.Log.Now()+f.Late)
 			}
 		}
 	}
@@ -239,12 +239,12 @@
 		if on {
 			h.stopped[key]++
 			unix.PidfdSendSignal(f.pidfd, syscall.SIGSTOP, nil, 0)
-			h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "stopped", Number: uint64(f.pid)})
+			h.note(history.Entry{Event: invariant.Event{Kind: history.Process}, Who: f.name, Op: "stopped", Number: uint64(f.pid)})
 		} else if h.stopped[key] > 0 {
 			// One that was started meanwhile was not stopped.
 			if h.stopped[key]--; h.stopped[key] == 0 {
 				unix.PidfdSendSignal(f.pidfd, syscall.SIGCONT, nil, 0)
-				h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "woken", Number: uint64(f.pid)})
+				h.note(history.Entry{Event: invariant.Event{Kind: history.Process}, Who: f.name, Op: "woken", Number: uint64(f.pid)})
 			}
 		}
 		n++
@@ -275,7 +275,7 @@
 	all := h.processesOf(name)
 	for _, f := range all {
 		if f.name[0] == 'n' {
-			h.w.Log.Dying(f.name)
+			h.w.Log.KillAnnounced(f.name)
 		} else {
 			f.host.supervisor.over.Store(true)
 		}
@@ -285,7 +285,7 @@
 	for _, f := range all {
 		unix.PidfdSendSignal(f.pidfd, syscall.SIGKILL, nil, 0)
 		h.recordHolderLost(f.name)
-		h.note(history.Entry{Event: audit.Event{Do: history.Process}, Who: f.name, Op: "killed", Number: uint64(f.pid)})
+		h.note(history.Entry{Event: invariant.Event{Kind: history.Process}, Who: f.name, Op: "killed", Number: uint64(f.pid)})
 	}
 	h.mu.Unlock()
 	if (name[0] == 'f' || name[0] == 'm') && len(all) > 0 {
@@ -410,7 +410,7 @@
 	}
 	h.mu.Unlock()
 	if f.Peer == "discovery" {
-		h.w.Log.Deaf(name, to || from || half || late > 0 || breaks > 0, h.w.Log.Now())
+		h.w.Log.Partitioned(name, to || from || half || late > 0 || breaks > 0, h.w.Log.Now())
 	}
 	r.Late(late)
 	r.Breaks(breaks)
@@ -486,5 +486,5 @@
 	if result == history.Done {
 		h.orders++
 	}
-	h.note(history.Entry{Event: audit.Event{Do: history.Order, At: begin}, End: h.w.Log.Now(), Who: "operator", To: one.role, Op: do, Result: result, Value: strings.TrimSpace(string(out))})
+	h.note(history.Entry{Event: invariant.Event{Kind: history.Order, At: begin}, End: h.w.Log.Now(), Who: "operator", To: one.role, Op: do, Result: result, Value: strings.TrimSpace(string(out))})
 }
--- a/internal/lab/rig/fleet_test.go
+++ b/internal/lab/rig/fleet_test.go
@@ -96,21 +96,21 @@
 		t.Fatal(err)
 	}
 	rep := w.Log.Report()
-	t.Logf("%s; %d connections refused, %d overflowed", rep.Line(), res.RefusedConns, res.Overflow)
+	t.Logf("%s; %d connections refused, %d overflowed", rep.Summary(), res.RefusedConns, res.Overflow)
 	for _, err := range res.Errors {
 		t.Error(err)
 	}
-	if rep.Broken() || w.Log.Open() != 0 {
-		t.Errorf("%d open, %v", w.Log.Open(), rep.Problems)
+	if rep.Violated() || w.Log.InFlight() != 0 {
+		t.Errorf("%d open, %v", w.Log.InFlight(), rep.Violations)
 	}
-	if got := rep.Served + rep.Refused + rep.Failed + rep.NoAnswer + rep.Held; got != rep.Asked {
-		t.Errorf("%d ends for %d requests", got, rep.Asked)
+	if got := rep.Served + rep.Rejected + rep.Failed + rep.Unanswered + rep.InFlightAtKill; got != rep.Requests {
+		t.Errorf("%d ends for %d requests", got, rep.Requests)
 	}
-	if res.Restarted != n || rep.Served < rep.Asked/2 {
-		t.Errorf("%d restarted, %d of %d served", res.Restarted, rep.Served, rep.Asked)
+	if res.Restarted != n || rep.Served < rep.Requests/2 {
+		t.Errorf("%d restarted, %d of %d served", res.Restarted, rep.Served, rep.Requests)
 	}
-	if mode == HandOver && (res.RefusedConns > 0 || rep.Held > 0) {
-		t.Errorf("%d connections refused, %d requests held by killed processes", res.RefusedConns, rep.Held)
+	if mode == HandOver && (res.RefusedConns > 0 || rep.InFlightAtKill > 0) {
+		t.Errorf("%d connections refused, %d requests held by killed processes", res.RefusedConns, rep.InFlightAtKill)
 	}
 	for _, in := range w.Instances {
 		if pids := in.Pids(); len(pids) != 1 {
--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -292,7 +292,7 @@
 // Kill ends all processes outright. Clients retry what they held.
 func (in *Instance) Kill() {
 	procs := in.running()
-	in.world.Log.Dying(in.Name)
+	in.world.Log.KillAnnounced(in.Name)
 	for _, p := range procs {
 		p.Kill()
 	}
--- a/internal/lab/rig/list.go
+++ b/internal/lab/rig/list.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
+	"otterspring/internal/lab/invariant"
 )
 
 // The endpoint list in an experiment: the lease holder of a zone watches discovery, and
@@ -252,7 +252,7 @@
 		}
 		all[in.Name] = version
 		h.mu.Lock()
-		h.note(history.Entry{Event: audit.Event{Do: history.Saw}, Who: in.Name + "#" + r.Header.Get("X-Pid"), Key: "list", Number: uint64(version)})
+		h.note(history.Entry{Event: invariant.Event{Kind: history.Saw}, Who: in.Name + "#" + r.Header.Get("X-Pid"), Key: "list", Number: uint64(version)})
 		h.mu.Unlock()
 	}
 	return all
--- a/internal/lab/rig/meter.go
+++ b/internal/lab/rig/meter.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 const (
@@ -24,7 +24,7 @@
 // meter tells the audit when the rig's own threads stood still, and returns a
 // function that ends it and tells the longest time they did. A busy machine keeps
 // single threads waiting while others run, so that there is one on each core.
-func meter(log *audit.Log) func() time.Duration {
+func meter(log *invariant.Checker) func() time.Duration {
 	end := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -46,7 +46,7 @@
 				case <-tick.C:
 				}
 				if now := log.Now(); now-before > meterEvery+meterLate {
-					log.Stalled(before+meterEvery, now)
+					log.Suspended(before+meterEvery, now)
 					mu.Lock()
 					longest = max(longest, now-before-meterEvery)
 					mu.Unlock()
@@ -61,7 +61,7 @@
 // queues tells the audit how long goroutines of the rig waited for a thread, by
 // the runtime's own count: with thousands that can run at once, one that a packet
 // woke reads its clock late though every thread runs.
-func queues(log *audit.Log, end <-chan struct{}) {
+func queues(log *invariant.Checker, end <-chan struct{}) {
 	sample := []metrics.Sample{{Name: "/sched/latencies:seconds"}}
 	var before []uint64
 	tick := time.NewTicker(10 * meterEvery)
@@ -86,7 +86,7 @@
 		before = slices.Clone(h.Counts)
 		if d := time.Duration(longest * float64(time.Second)); d > meterLate {
 			now := log.Now()
-			log.Stalled(now-d, now)
+			log.Suspended(now-d, now)
 		}
 	}
 }
--- a/internal/lab/rig/probe.go
+++ b/internal/lab/rig/probe.go
@@ -10,8 +10,8 @@
 
 	"otterspring/internal/fleet/coordination"
 	"otterspring/internal/fleet/coordination/client"
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/history"
+	"otterspring/internal/lab/invariant"
 )
 
 // Beside hosts the rig itself asks the council: some of its clients own a duty of
@@ -103,7 +103,7 @@
 func (p *prober) note(begin time.Duration, op, key, value, result string) {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
-	e := history.Entry{Event: audit.Event{Do: history.Op, At: begin}, Who: p.name, Op: op, Key: key, Value: value, Result: result}
+	e := history.Entry{Event: invariant.Event{Kind: history.Op, At: begin}, Who: p.name, Op: op, Key: key, Value: value, Result: result}
 	if result != history.Unknown {
 		e.End = p.h.w.Log.Now()
 	}
--- a/internal/lab/rig/run.go
+++ b/internal/lab/rig/run.go
@@ -199,8 +199,8 @@
 				refusedConns += c.RefusedConns()
 			}
 			fmt.Fprintf(f.Live, "%4.0f s  asked %5d/s  served %5d/s  refused %d  failed %d  no answer %d  open %d  connections refused %d\n",
-				(w.Log.Now() - start).Seconds(), r.Asked-asked, r.Served-served, r.Refused, r.Failed, r.NoAnswer, w.Log.Open(), refusedConns)
-			asked, served = r.Asked, r.Served
+				(w.Log.Now() - start).Seconds(), r.Requests-asked, r.Served-served, r.Rejected, r.Failed, r.Unanswered, w.Log.InFlight(), refusedConns)
+			asked, served = r.Requests, r.Served
 		}
 	}()
 	return func() { close(end); <-ended }
--- a/internal/lab/rig/storm.go
+++ b/internal/lab/rig/storm.go
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
 	"otterspring/internal/lab/history"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/clients"
 	"otterspring/internal/lab/standin/lossylink"
@@ -274,7 +274,7 @@
 	rude := slices.ContainsFunc(p.Storm.Faults, func(f experiment.Fault) bool { return f.Kind == "rude" })
 	hist, err := history.Create(h.History, history.Head{Clock: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano()), Storm: p.Storm.Name, Seed: p.Seed, Rules: w.Log.Rules(), Rude: rude})
 	if err == nil {
-		w.Log.Tap(hist.Tap)
+		w.Log.Observe(hist.Tap)
 	}
 	return hist, err
 }
@@ -406,9 +406,9 @@
 	}
 	if hist != nil {
 		for _, why := range rec.Void {
-			hist.Add(history.Entry{Event: audit.Event{Do: history.Void, At: w.Log.Now()}, Value: why})
+			hist.Add(history.Entry{Event: invariant.Event{Kind: history.Void, At: w.Log.Now()}, Value: why})
 		}
-		w.Log.Tap(nil)
+		w.Log.Observe(nil)
 		if err := hist.Close(); err != nil {
 			return nil, err
 		}
@@ -445,8 +445,8 @@
 		rec.Void = append(rec.Void, err.Error())
 		return
 	}
-	rec.Report.Lost++
-	rec.Report.Problems = append(rec.Report.Problems, err.Error())
+	rec.Report.Dropped++
+	rec.Report.Violations = append(rec.Report.Violations, err.Error())
 }
 
 // report calls progress until the function returned is called.
@@ -651,7 +651,7 @@
 	if r.rude != nil {
 		rec.Counts.Rude = r.rude
 		rec.Report.Forged += r.rude.Served
-		rec.Report.Problems = append(rec.Report.Problems, r.rude.Problems...)
+		rec.Report.Violations = append(rec.Report.Violations, r.rude.Problems...)
 	}
 	overflow, late, unread := 0, 0, 0
 	for _, c := range all {
--- a/internal/lab/rig/world.go
+++ b/internal/lab/rig/world.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/clients"
 	"otterspring/internal/lab/standin/lossylink"
@@ -80,7 +80,7 @@
 // World is a running world.
 type World struct {
 	opt       Options
-	Log       *audit.Log
+	Log       *invariant.Checker
 	Registry  *registry.Registry
 	Servers   []*callserver.Server
 	Instances []*Instance
@@ -100,9 +100,9 @@
 func Classes(stretch float64) []clients.Class {
 	ms := func(n float64) time.Duration { return time.Duration(n * stretch * float64(time.Millisecond)) }
 	return []clients.Class{
-		{Name: "roster", Effect: audit.Repeat, Share: 41, Aim: ms(200), Deadline: ms(500), Worth: 3},
-		{Name: "join", Effect: audit.Keyed, Share: 31, Aim: ms(500), Deadline: ms(2000), Worth: 8},
-		{Name: "start-rec", Effect: audit.Once, Share: 28, Aim: ms(500), Deadline: ms(1200), Worth: 5},
+		{Name: "roster", Effect: invariant.Idempotent, Share: 41, Aim: ms(200), Deadline: ms(500), Worth: 3},
+		{Name: "join", Effect: invariant.IdempotentWithKey, Share: 31, Aim: ms(500), Deadline: ms(2000), Worth: 8},
+		{Name: "start-rec", Effect: invariant.NonIdempotent, Share: 28, Aim: ms(500), Deadline: ms(1200), Worth: 5},
 	}
 }
 
@@ -127,16 +127,16 @@
 // are not started.
 func New(o Options) (*World, error) {
 	o.defaults()
-	rules := audit.Delft()
-	rules.Grace = time.Duration(float64(rules.Grace) * o.Stretch)
-	rules.Slack = time.Duration(float64(rules.Slack) * o.Stretch)
+	rules := invariant.DelftRules()
+	rules.DrainGrace = time.Duration(float64(rules.DrainGrace) * o.Stretch)
+	rules.Tolerance = time.Duration(float64(rules.Tolerance) * o.Stretch)
 	if o.Grace > 0 {
-		rules.Grace = o.Grace
+		rules.DrainGrace = o.Grace
 	}
-	w := &World{opt: o, Log: audit.New(rules), Classes: Classes(o.Stretch), relays: map[[2]int]*relay.Relay{}, linked: map[string]string{}}
+	w := &World{opt: o, Log: invariant.New(rules), Classes: Classes(o.Stretch), relays: map[[2]int]*relay.Relay{}, linked: map[string]string{}}
 	if s := o.Storm; s != nil {
-		rules.TipMultiple, rules.TipFor = s.World.Server.TipAt, s.World.Server.TipFor
-		w.Log, w.Classes = audit.New(rules), s.ClientClasses()
+		rules.OverloadMultiple, rules.OverloadWindow = s.World.Server.TipAt, s.World.Server.TipFor
+		w.Log, w.Classes = invariant.New(rules), s.ClientClasses()
 	}
 	w.Registry = registry.New(o.Registry, w.Log, 1)
 	w.regs = []*registry.Registry{w.Registry}
@@ -322,10 +322,10 @@
 func (w *World) configText(in *Instance, seed uint64, discovery, known string) string {
 	var classes []string
 	for _, c := range w.Classes {
-		effect := map[audit.Effect]string{
-			audit.Repeat: `"effect":"free"`,
-			audit.Keyed:  fmt.Sprintf(`"effect":"guarded","group":"cell","window-us":%d`, w.opt.Window.Microseconds()),
-			audit.Once:   `"effect":"single_shot"`,
+		effect := map[invariant.Effect]string{
+			invariant.Idempotent:        `"effect":"free"`,
+			invariant.IdempotentWithKey: fmt.Sprintf(`"effect":"guarded","group":"cell","window-us":%d`, w.opt.Window.Microseconds()),
+			invariant.NonIdempotent:     `"effect":"single_shot"`,
 		}[c.Effect]
 		classes = append(classes, fmt.Sprintf(`{"name":%q,"aim-us":%d,"deadline-us":%d,"worth":%g,%s}`,
 			c.Name, c.Aim.Microseconds(), c.Deadline.Microseconds(), c.Worth, effect))
--- a/internal/lab/scale/sidecars.go
+++ b/internal/lab/scale/sidecars.go
@@ -112,10 +112,10 @@
 	}
 	figures.Failures = append(figures.Failures, s.result.Errors...)
 	report := s.world.Log.Report()
-	figures.Requests = report.Asked
-	figures.LostRequests = report.Lost + report.Late + report.Forged + report.After
-	figures.DuplicateRequests = report.Twice + report.Untrue
-	for _, problem := range report.Problems {
+	figures.Requests = report.Requests
+	figures.LostRequests = report.Dropped + report.Late + report.Forged + report.SentAfterAnswer
+	figures.DuplicateRequests = report.ExecutedTwice + report.RejectedAfterExecution
+	for _, problem := range report.Violations {
 		figures.Failures = append(figures.Failures, fmt.Errorf("request: %s", problem))
 	}
 	for i, instance := range s.world.Instances {
--- a/internal/lab/standin/callserver/callserver.go
+++ b/internal/lab/standin/callserver/callserver.go
@@ -13,13 +13,13 @@
 	"sync"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // Class is how much work a class of requests is.
 type Class struct {
 	Name   string
-	Effect audit.Effect
+	Effect invariant.Effect
 	Work   time.Duration // mean, on a core of speed 1
 }
 
@@ -134,7 +134,7 @@
 type Server struct {
 	cfg     Config
 	pod     *Pod
-	log     *audit.Log
+	log     *invariant.Checker
 	classes map[string]*Class
 
 	mu      sync.Mutex
@@ -177,7 +177,7 @@
 
 // Start brings a call server up, warm ("long ago"). All its chance comes from
 // seed.
-func Start(cfg Config, pod *Pod, log *audit.Log, seed uint64) (*Server, error) {
+func Start(cfg Config, pod *Pod, log *invariant.Checker, seed uint64) (*Server, error) {
 	cfg.defaults()
 	s := &Server{
 		cfg: cfg, pod: pod, log: log, classes: map[string]*Class{},
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	s.life = 1
-	log.Changed(cfg.Name, s.life, false, log.Now())
+	log.EndpointChanged(cfg.Name, s.life, false, log.Now())
 	return s, nil
 }
 
@@ -286,7 +286,7 @@
 	s.sent, s.keys = nil, map[string]time.Time{}
 	life := s.life
 	s.mu.Unlock()
-	s.log.Changed(s.cfg.Name, life, false, s.log.Now())
+	s.log.EndpointChanged(s.cfg.Name, life, false, s.log.Now())
 	return s.listen(addr)
 }
 
@@ -379,7 +379,10 @@
 	s.counts.Requests++
 	work := s.workOf(c, key) + handshake
 	share := s.capacity()
-	s.log.Arrived(s.cfg.Name, s.life, id, first, s.log.Now(), work.Seconds(), share*s.full(), s.full())
+	s.log.AttemptArrived(invariant.Attempt{
+		Server: s.cfg.Name, Incarnation: s.life, RequestID: id, FirstByteAt: first, CompletedAt: s.log.Now(),
+		Work: work.Seconds(), Capacity: share * s.full(), WarmCapacity: s.full(),
+	})
 	s.weigh(work.Seconds(), share)
 	if s.tipped || s.leaving || s.running >= s.cfg.Cores*s.cfg.Slots && len(s.waiting) >= s.cfg.Queue {
 		s.counts.TurnedAway++
@@ -429,12 +432,12 @@
 	j.state = jobRunning
 	j.begun = time.Now()
 	s.running++
-	if j.class.Effect == audit.Keyed && j.idem != "" && !s.pod.first(j.idem) {
+	if j.class.Effect == invariant.IdempotentWithKey && j.idem != "" && !s.pod.first(j.idem) {
 		s.counts.Dropped++
 		j.work /= 10
 	} else {
 		s.counts.Ran++
-		s.log.Ran(s.cfg.Name, s.pod.Name, j.id, s.log.Now())
+		s.log.EffectExecuted(s.cfg.Name, s.pod.Name, j.id, s.log.Now())
 	}
 	slow := max(1, s.fault.Slow)
 	// Slots beyond the cores share them.
--- a/internal/lab/standin/callserver/callserver_test.go
+++ b/internal/lab/standin/callserver/callserver_test.go
@@ -13,22 +13,22 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // patience bounds waits that would otherwise hang; nothing is measured by it.
 const patience = 20 * time.Second
 
 var classes = []Class{
-	{Name: "roster", Effect: audit.Repeat, Work: 10 * time.Millisecond},
-	{Name: "join", Effect: audit.Keyed, Work: 10 * time.Millisecond},
-	{Name: "long", Effect: audit.Once, Work: time.Hour},
+	{Name: "roster", Effect: invariant.Idempotent, Work: 10 * time.Millisecond},
+	{Name: "join", Effect: invariant.IdempotentWithKey, Work: 10 * time.Millisecond},
+	{Name: "long", Effect: invariant.NonIdempotent, Work: time.Hour},
 }
 
 func start(t *testing.T, c Config) *Server {
 	t.Helper()
 	c.Name, c.Classes = "s1", classes
-	s, err := Start(c, NewPod("p", 4*time.Second), audit.New(audit.Delft()), 1)
+	s, err := Start(c, NewPod("p", 4*time.Second), invariant.New(invariant.DelftRules()), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -14,7 +14,7 @@
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/gate"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // coapScheme stands before the address of a server that speaks CoAP.
@@ -45,7 +45,7 @@
 	key := make([]byte, 32)
 	rand.Read(key)
 	classes := map[string]gate.Class{}
-	effects := map[audit.Effect]gate.Effect{audit.Repeat: gate.Repeat, audit.Keyed: gate.Keyed, audit.Once: gate.Once}
+	effects := map[invariant.Effect]gate.Effect{invariant.Idempotent: gate.Repeat, invariant.IdempotentWithKey: gate.Keyed, invariant.NonIdempotent: gate.Once}
 	for name, c := range s.classes {
 		classes[name] = gate.Class{Effect: effects[c.Effect], Deadline: time.Hour}
 	}
--- a/internal/lab/standin/clients/clients.go
+++ b/internal/lab/standin/clients/clients.go
@@ -17,7 +17,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/coapclient"
 )
@@ -83,7 +83,7 @@
 // Clients are the clients of one sidecar.
 type Clients struct {
 	cfg Config
-	log *audit.Log
+	log *invariant.Checker
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -105,7 +105,7 @@
 var numbers atomic.Int64
 
 // New returns clients that have asked nothing yet.
-func New(cfg Config, log *audit.Log) *Clients {
+func New(cfg Config, log *invariant.Checker) *Clients {
 	if cfg.Most == 0 {
 		cfg.Most = 300
 	}
@@ -222,8 +222,8 @@
 		s.OK = got == served
 		s.End = EndOf(s.OK, got == refused, got == failed || got == broken)
 		again := got == refused || got == notTaken ||
-			(got == failed || got == timedOut) && class.Effect == audit.Repeat ||
-			got == broken && class.Effect != audit.Once
+			(got == failed || got == timedOut) && class.Effect == invariant.Idempotent ||
+			got == broken && class.Effect != invariant.NonIdempotent
 		if !again || try >= retries {
 			break
 		}
@@ -283,10 +283,10 @@
 		if left <= 0 {
 			// Its time was up before a connection was: nothing is asked on it.
 			c.close(cc)
-			c.log.Gone(id, c.log.Now()+left)
+			c.log.Abandoned(id, c.log.Now()+left)
 			return notTaken, 0
 		}
-		c.log.Asked(id, c.cfg.Instance, class.Effect, c.log.Now(), left)
+		c.log.RequestSent(id, c.cfg.Instance, class.Effect, c.log.Now(), left)
 		got, advice, begun := c.exchange(cc, a, class, id, op, n, until)
 		if got != broken {
 			return got, advice
@@ -294,11 +294,11 @@
 		if !kept && !begun {
 			c.unread.Add(1)
 		}
-		if !c.log.Broke(id, kept && !begun, c.log.Now()) {
+		if !c.log.ConnectionBroke(id, kept && !begun, c.log.Now()) {
 			return broken, 0
 		}
 		if cc, got = c.dial(); cc == nil {
-			c.log.Gone(id, c.log.Now()+min(0, time.Until(until)))
+			c.log.Abandoned(id, c.log.Now()+min(0, time.Until(until)))
 			return got, 0
 		}
 	}
@@ -313,7 +313,7 @@
 	if _, err := cc.nc.Write(c.text(a, class, id, op, n, time.Until(until))); err != nil {
 		c.close(cc)
 		if isTimeout(err) {
-			c.log.Gone(id, min(end, c.log.Now()))
+			c.log.Abandoned(id, min(end, c.log.Now()))
 			return timedOut, 0, false
 		}
 		return broken, 0, false
@@ -321,7 +321,7 @@
 	if _, err := cc.br.Peek(1); err != nil {
 		c.close(cc)
 		if isTimeout(err) {
-			c.log.Gone(id, min(end, c.log.Now()))
+			c.log.Abandoned(id, min(end, c.log.Now()))
 			return timedOut, 0, false
 		}
 		return broken, 0, false
@@ -331,7 +331,7 @@
 	if err := resp.ReadLimitBody(cc.br, 64<<10); err != nil {
 		c.close(cc)
 		if isTimeout(err) {
-			c.log.Gone(id, min(end, c.log.Now()))
+			c.log.Abandoned(id, min(end, c.log.Now()))
 			return timedOut, 0, true
 		}
 		return broken, 0, true
@@ -339,16 +339,16 @@
 	at := min(end, c.log.Now()) // it was read before the connection's deadline
 	switch resp.StatusCode() {
 	case 200:
-		c.log.Answered(id, audit.Served, callserver.Made(id, string(resp.Body())), at)
+		c.log.Answered(id, invariant.Served, callserver.Made(id, string(resp.Body())), at)
 		got = served
 	case 429, 503:
-		c.log.Answered(id, audit.Refused, false, at)
+		c.log.Answered(id, invariant.Rejected, false, at)
 		got = refused
 		if s, err := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64); err == nil && s >= 0 && s <= 60 {
 			advice = time.Duration(s * float64(time.Second))
 		}
 	default:
-		c.log.Answered(id, audit.Failed, false, at)
+		c.log.Answered(id, invariant.Failed, false, at)
 		got = failed
 	}
 	if resp.ConnectionClose() || cc.br.Buffered() > 0 {
@@ -363,7 +363,7 @@
 func (c *Clients) text(a Arrival, class *Class, id, op string, n int, left time.Duration) []byte {
 	b := make([]byte, 0, 512)
 	method := "POST"
-	if class.Effect == audit.Repeat {
+	if class.Effect == invariant.Idempotent {
 		method = "GET"
 	}
 	b = fmt.Appendf(b, "%s /%s HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: %s\r\nX-Deadline: %.3f\r\n", method, class.Name, id, left.Seconds())
@@ -376,7 +376,7 @@
 	if n > 0 && !c.cfg.Unmarked {
 		b = append(b, "X-Retry: 1\r\n"...)
 	}
-	if class.Effect == audit.Keyed {
+	if class.Effect == invariant.IdempotentWithKey {
 		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", op)
 	}
 	if method == "POST" {
--- a/internal/lab/standin/clients/clients_test.go
+++ b/internal/lab/standin/clients/clients_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/callserver"
 )
 
 var classes = []Class{
-	{Name: "roster", Effect: audit.Repeat, Share: 1, Aim: 200 * time.Millisecond, Deadline: 10 * time.Second, Worth: 3},
-	{Name: "start-rec", Effect: audit.Once, Share: 1, Aim: 200 * time.Millisecond, Deadline: 10 * time.Second, Worth: 5},
+	{Name: "roster", Effect: invariant.Idempotent, Share: 1, Aim: 200 * time.Millisecond, Deadline: 10 * time.Second, Worth: 3},
+	{Name: "start-rec", Effect: invariant.NonIdempotent, Share: 1, Aim: 200 * time.Millisecond, Deadline: 10 * time.Second, Worth: 5},
 }
 
 // The same seed gives the same plan, at the rate that was asked for, with more
@@ -120,7 +120,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, asked := scripted(t, c.answers...)
-			cl := New(Config{Instance: "n", Addr: addr, Classes: classes, Retries: 2}, audit.New(audit.Delft()))
+			cl := New(Config{Instance: "n", Addr: addr, Classes: classes, Retries: 2}, invariant.New(invariant.DelftRules()))
 			cl.Run(context.Background(), []Arrival{{Class: c.class}})
 			s := cl.Samples()
 			if asked.Load() != c.asked || len(s) != 1 || s[0].OK != c.ok {
@@ -135,12 +135,12 @@
 func TestCrossedClose(t *testing.T) {
 	t.Parallel()
 	addr, asked := scripted(t, "served", "", "served")
-	log := audit.New(audit.Delft())
+	log := invariant.New(invariant.DelftRules())
 	cl := New(Config{Instance: "n", Addr: addr, Classes: classes}, log)
 	cl.Run(context.Background(), []Arrival{{Class: 1}, {At: 300 * time.Millisecond, Class: 1}})
 	rep := log.Report()
-	if asked.Load() != 3 || rep.Asked != 2 || rep.Resent != 1 || rep.Lost != 0 {
-		t.Errorf("asked %d; %s", asked.Load(), rep.Line())
+	if asked.Load() != 3 || rep.Requests != 2 || rep.Resent != 1 || rep.Dropped != 0 {
+		t.Errorf("asked %d; %s", asked.Load(), rep.Summary())
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	cl := New(Config{Instance: "n", Addr: addr, Classes: classes, Retries: 1}, audit.New(audit.Delft()))
+	cl := New(Config{Instance: "n", Addr: addr, Classes: classes, Retries: 1}, invariant.New(invariant.DelftRules()))
 	cl.Run(context.Background(), []Arrival{{}})
 	if n := cl.RefusedConns(); n != 2 {
 		t.Errorf("%d refused, want 2", n)
--- a/internal/lab/standin/clients/coap.go
+++ b/internal/lab/standin/clients/coap.go
@@ -8,7 +8,7 @@
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/gate"
 	"otterspring/internal/coap/message"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/callserver"
 	"otterspring/internal/lab/standin/coapclient"
 )
@@ -55,7 +55,7 @@
 // answer nothing is known.
 func (c *Clients) tryCoAP(a Arrival, class *Class, id, op string, n int, wait time.Duration) (result, time.Duration) {
 	m := message.Message{Type: message.Confirmable, Code: message.POST}
-	if class.Effect == audit.Repeat {
+	if class.Effect == invariant.Idempotent {
 		m.Code = message.GET
 	}
 	m.Add(message.URIPath, []byte(class.Name))
@@ -67,7 +67,7 @@
 	if a.Tenant > 0 {
 		m.Add(gate.OptTenant, []byte(c.cfg.Tenants[a.Tenant-1].Name))
 	}
-	if class.Effect == audit.Keyed {
+	if class.Effect == invariant.IdempotentWithKey {
 		m.Add(gate.OptIdempotency, []byte(op))
 	}
 	if n > 0 && !c.cfg.Unmarked {
@@ -80,21 +80,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	device := c.devices[(uint64(a.At)+c.cfg.Seed)%uint64(len(c.devices))]
-	c.log.Asked(id, c.cfg.Instance, class.Effect, c.log.Now(), wait)
+	c.log.RequestSent(id, c.cfg.Instance, class.Effect, c.log.Now(), wait)
 	r, err := device.Do(ctx, m, body)
 	at := c.log.Now()
 	switch {
 	case err != nil:
-		c.log.Gone(id, at)
+		c.log.Abandoned(id, at)
 		return timedOut, 0
 	case r.Code.Class() == 2:
-		c.log.Answered(id, audit.Served, callserver.Made(id, string(r.Payload)), at)
+		c.log.Answered(id, invariant.Served, callserver.Made(id, string(r.Payload)), at)
 		return served, 0
 	case r.Code == message.ServiceUnavailable || r.Code == message.TooManyRequests:
-		c.log.Answered(id, audit.Refused, false, at)
+		c.log.Answered(id, invariant.Rejected, false, at)
 		s, _ := r.Uint(message.MaxAge)
 		return refused, time.Duration(s) * time.Second
 	}
-	c.log.Answered(id, audit.Failed, false, at)
+	c.log.Answered(id, invariant.Failed, false, at)
 	return failed, 0
 }
--- a/internal/lab/standin/clients/killed_test.go
+++ b/internal/lab/standin/clients/killed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // A sidecar that is killed while it holds a request on a kept connection, and
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		log := audit.New(audit.Delft())
+		log := invariant.New(invariant.DelftRules())
 		requests := make(chan string, 10)
 		answer := func(c net.Conn) { c.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) }
 		go func() {
@@ -40,7 +40,7 @@
 						if n == 0 && k == 1 {
 							// The second on the first connection ends with it; the listener stays.
 							if killed {
-								log.Dying("n1")
+								log.KillAnnounced("n1")
 							}
 							return
 						}
@@ -49,7 +49,7 @@
 				}()
 			}
 		}()
-		classes := []Class{{Name: "start-rec", Effect: audit.Once, Share: 1, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}}
+		classes := []Class{{Name: "start-rec", Effect: invariant.NonIdempotent, Share: 1, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}}
 		c := New(Config{Instance: "n1", Addr: ln.Addr().String(), Classes: classes, Kept: time.Minute, Retries: 1, Seed: 1}, log)
 		c.Run(context.Background(), []Arrival{{At: 0}})
 		ln.Close()
--- a/internal/lab/standin/clients/plan.go
+++ b/internal/lab/standin/clients/plan.go
@@ -11,13 +11,13 @@
 	"slices"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // Class is a class of requests as the clients see it.
 type Class struct {
 	Name     string
-	Effect   audit.Effect
+	Effect   invariant.Effect
 	Share    float64       // of the requests
 	Aim      time.Duration // an answer after this earns nothing
 	Deadline time.Duration // given up after this, over all tries
--- a/internal/lab/standin/registry/registry.go
+++ b/internal/lab/standin/registry/registry.go
@@ -18,7 +18,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // Entry is one call server of the list.
@@ -48,7 +48,7 @@
 // Registry is discovery.
 type Registry struct {
 	cfg Config
-	log *audit.Log
+	log *invariant.Checker
 
 	mu      sync.Mutex
 	index   int64
@@ -74,7 +74,7 @@
 }
 
 // New returns a registry that knows nothing; the index begins at from.
-func New(cfg Config, log *audit.Log, from int64) *Registry {
+func New(cfg Config, log *invariant.Checker, from int64) *Registry {
 	if cfg.Patience == 0 {
 		cfg.Patience = 2 * time.Second
 	}
@@ -87,7 +87,7 @@
 	know := func() {
 		// From here on discovery has it to tell.
 		if r.log != nil && e.Status != "active" {
-			r.log.Changed(e.Name, e.Life, true, r.log.Now())
+			r.log.EndpointChanged(e.Name, e.Life, true, r.log.Now())
 		}
 		r.set(e)
 	}
@@ -201,7 +201,7 @@
 	r.mu.Lock()
 	r.down, r.silent = down, silent
 	if r.log != nil {
-		r.log.Silent(down, r.log.Now())
+		r.log.DiscoveryUnavailable(down, r.log.Now())
 	}
 	var doors []*Door
 	for d := range r.doors {
@@ -438,7 +438,7 @@
 	br := bufio.NewReader(c)
 	epoch := 0
 	if d.reg.log != nil {
-		epoch = d.reg.log.Epoch(d.instance)
+		epoch = d.reg.log.Restarts(d.instance)
 	}
 	for {
 		var h fasthttp.RequestHeader
@@ -526,9 +526,9 @@
 		at := r.log.Now()
 		along := d.also()
 		for _, e := range told {
-			r.log.Told(d.instance, epoch, e.Name, e.Life, e.Status != "active", at)
+			r.log.Notified(d.instance, epoch, e.Name, e.Life, e.Status != "active", at)
 			for _, name := range along {
-				r.log.Told(name, r.log.Epoch(name), e.Name, e.Life, e.Status != "active", at)
+				r.log.Notified(name, r.log.Restarts(name), e.Name, e.Life, e.Status != "active", at)
 			}
 		}
 	}
--- a/internal/lab/standin/registry/registry_test.go
+++ b/internal/lab/standin/registry/registry_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 type told struct {
@@ -38,7 +38,7 @@
 
 func open(t *testing.T, cfg Config) (*Registry, *Door) {
 	t.Helper()
-	r := New(cfg, audit.New(audit.Delft()), 10)
+	r := New(cfg, invariant.New(invariant.DelftRules()), 10)
 	t.Cleanup(r.Close)
 	d, err := r.Open("n1")
 	if err != nil {
--- a/internal/lab/virtual/attempt.go
+++ b/internal/lab/virtual/attempt.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // send starts an attempt.
@@ -217,7 +217,7 @@
 	s := a.host.srv
 	k := a.call.ask
 	idem := ""
-	if k.class.Effect == audit.Keyed {
+	if k.class.Effect == invariant.IdempotentWithKey {
 		idem = k.op
 	}
 	j := s.submit(a.call.id, k.a.Key, idem, &s.w.classes[k.a.Class], first, handshake)
--- a/internal/lab/virtual/client.go
+++ b/internal/lab/virtual/client.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/clients"
 )
 
@@ -41,17 +41,17 @@
 	}
 	id := k.op + "." + itoa(k.tries-1)
 	c := &call{id: id, ask: k, p: p}
-	w.log.Asked(id, k.inst.name, k.class.Effect, now, wait)
+	w.log.RequestSent(id, k.inst.name, k.class.Effect, now, wait)
 	w.loop.in(wait, func() {
 		if !c.heard {
 			c.heard = true
-			w.log.Gone(id, w.loop.now)
+			w.log.Abandoned(id, w.loop.now)
 			p.awake(func() { p.left(c) })
 			pause := time.Duration(0)
 			if early {
 				pause = time.Millisecond
 			}
-			k.again(clients.EndNone, k.class.Effect == audit.Repeat, pause)
+			k.again(clients.EndNone, k.class.Effect == invariant.Idempotent, pause)
 		}
 	})
 	q := balance.Request{ID: id, Class: k.class.Name, Tenant: k.tenant(), Key: k.a.Key, Deadline: now + wait, IsRetry: k.tries > 1 && !w.storm.Load.Unmarked}
@@ -75,14 +75,14 @@
 	w := k.inst.w
 	switch kind {
 	case balance.Send:
-		w.log.Answered(c.id, audit.Served, true, w.loop.now)
+		w.log.Answered(c.id, invariant.Served, true, w.loop.now)
 		k.over(clients.EndServed)
 	case balance.Reject:
-		w.log.Answered(c.id, audit.Refused, false, w.loop.now)
+		w.log.Answered(c.id, invariant.Rejected, false, w.loop.now)
 		k.again(clients.EndRefused, true, advice)
 	default:
-		w.log.Answered(c.id, audit.Failed, false, w.loop.now)
-		k.again(clients.EndFailed, k.class.Effect == audit.Repeat, 0)
+		w.log.Answered(c.id, invariant.Failed, false, w.loop.now)
+		k.again(clients.EndFailed, k.class.Effect == invariant.Idempotent, 0)
 	}
 }
 
@@ -92,8 +92,8 @@
 		return
 	}
 	c.heard = true
-	k.inst.w.log.Broke(c.id, false, k.inst.w.loop.now)
-	k.again(clients.EndFailed, k.class.Effect != audit.Once, 0)
+	k.inst.w.log.ConnectionBroke(c.id, false, k.inst.w.loop.now)
+	k.again(clients.EndFailed, k.class.Effect != invariant.NonIdempotent, 0)
 }
 
 // again tries once more where that is harmless, there is time and a try left.
--- a/internal/lab/virtual/mass_test.go
+++ b/internal/lab/virtual/mass_test.go
@@ -218,8 +218,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(rec.Void) > 0 || rec.Report.Broken() {
-				t.Errorf("%v %v %v", rec.Void, rec.Report.Line(), rec.Report.Problems)
+			if len(rec.Void) > 0 || rec.Report.Violated() {
+				t.Errorf("%v %v %v", rec.Void, rec.Report.Summary(), rec.Report.Violations)
 			}
 			// A timer may end all that is open at once, and no more.
 			if largest > 400 {
--- a/internal/lab/virtual/registry.go
+++ b/internal/lab/virtual/registry.go
@@ -62,7 +62,7 @@
 	r.w.loop.in(r.late, func() {
 		if state != balance.Ready {
 			// From here on discovery has it to tell.
-			r.w.log.Changed(s.name, e.life, true, r.w.loop.now)
+			r.w.log.EndpointChanged(s.name, e.life, true, r.w.loop.now)
 		}
 		r.put(e)
 	})
@@ -167,7 +167,7 @@
 		p.tries = 0
 		for i := range told {
 			e := &told[i]
-			r.w.log.Told(p.inst.name, p.epoch, e.srv.name, e.life, e.state != balance.Ready, r.w.loop.now)
+			r.w.log.Notified(p.inst.name, p.epoch, e.srv.name, e.life, e.state != balance.Ready, r.w.loop.now)
 		}
 		kind := balance.ListDelta
 		if since == 0 {
@@ -194,7 +194,7 @@
 		r.silent = false
 	}
 	r.down = true
-	r.w.log.Silent(true, r.w.loop.now)
+	r.w.log.DiscoveryUnavailable(true, r.w.loop.now)
 	waiting := r.watchers
 	r.watchers = nil
 	for _, x := range waiting {
@@ -213,7 +213,7 @@
 
 // good takes back what bad did.
 func (r *registry) good() {
-	r.w.log.Silent(false, r.w.loop.now)
+	r.w.log.DiscoveryUnavailable(false, r.w.loop.now)
 	r.down, r.late = false, r.w.storm.World.Discovery.Late
 }
 
--- a/internal/lab/virtual/server.go
+++ b/internal/lab/virtual/server.go
@@ -4,14 +4,14 @@
 	"math/rand/v2"
 	"time"
 
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
+	"otterspring/internal/lab/invariant"
 )
 
 // class is a class as a call server sees it.
 type class struct {
 	name   string
-	effect audit.Effect
+	effect invariant.Effect
 	work   time.Duration
 }
 
@@ -110,7 +110,7 @@
 	if cold {
 		s.started = max(s.w.loop.now, s.started+time.Millisecond)
 	}
-	s.w.log.Changed(s.name, s.life, false, s.w.loop.now)
+	s.w.log.EndpointChanged(s.name, s.life, false, s.w.loop.now)
 }
 
 // stop ends the process: connections are reset, what was in work stops.
@@ -185,7 +185,10 @@
 	now := s.w.loop.now
 	work := s.workOf(c, key) + handshake
 	share := s.capacity()
-	s.w.log.Arrived(s.name, s.life, id, first, now, work.Seconds(), share*s.full(), s.full())
+	s.w.log.AttemptArrived(invariant.Attempt{
+		Server: s.name, Incarnation: s.life, RequestID: id, FirstByteAt: first, CompletedAt: now,
+		Work: work.Seconds(), Capacity: share * s.full(), WarmCapacity: s.full(),
+	})
 	s.weigh(work.Seconds(), share)
 	if s.tipped || s.leaving || s.busy >= s.cfg.Cores*s.cfg.Slots && len(s.queue) >= s.cfg.Queue {
 		return nil
@@ -231,10 +234,10 @@
 	j.state = running
 	s.busy++
 	now := s.w.loop.now
-	if j.class.effect == audit.Keyed && j.idem != "" && !s.pod.first(j.idem, now, s.cfg.Window) {
+	if j.class.effect == invariant.IdempotentWithKey && j.idem != "" && !s.pod.first(j.idem, now, s.cfg.Window) {
 		j.work /= 10
 	} else {
-		s.w.log.Ran(s.name, s.pod.name, j.id, now)
+		s.w.log.EffectExecuted(s.name, s.pod.name, j.id, now)
 	}
 	crowd := max(1, float64(s.busy)/float64(s.cfg.Cores))
 	took := time.Duration(float64(j.work) / s.speed / s.capacity() * max(1, s.ill.Slow) * crowd)
--- a/internal/lab/virtual/sidecar.go
+++ b/internal/lab/virtual/sidecar.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 const (
@@ -273,9 +273,9 @@
 // being over.
 func (c *call) mayRepeat() bool {
 	switch c.ask.class.Effect {
-	case audit.Repeat:
+	case invariant.Idempotent:
 		return true
-	case audit.Keyed:
+	case invariant.IdempotentWithKey:
 		return c.p.inst.w.loop.now < c.attempts[0].sent+c.p.inst.w.storm.World.Server.Window
 	}
 	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return !harmless(a.status) })
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/virtual/world.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"otterspring/balance"
-	"otterspring/internal/lab/audit"
 	"otterspring/internal/lab/experiment"
+	"otterspring/internal/lab/invariant"
 	"otterspring/internal/lab/standin/clients"
 )
 
@@ -34,7 +34,7 @@
 	plan      *experiment.Plan
 	opt       Options
 	loop      loop
-	log       *audit.Log
+	log       *invariant.Checker
 	rng       *rand.Rand
 	reg       *registry
 	servers   []*server
@@ -103,9 +103,9 @@
 		asked: s.ClientClasses(), track: experiment.NewTracker(s),
 		idle: max(s.World.Server.Idle-idleMargin, s.World.Server.Idle/2),
 	}
-	rules := audit.Delft()
-	rules.TipMultiple, rules.TipFor = s.World.Server.TipAt, s.World.Server.TipFor
-	w.log = audit.NewAt(rules, func() time.Duration { return w.loop.now })
+	rules := invariant.DelftRules()
+	rules.OverloadMultiple, rules.OverloadWindow = s.World.Server.TipAt, s.World.Server.TipFor
+	w.log = invariant.NewWithClock(rules, func() time.Duration { return w.loop.now })
 	for _, c := range s.Load.Classes {
 		w.classes = append(w.classes, class{c.Name, experiment.Effects[c.Effect], c.Work})
 	}
@@ -156,10 +156,10 @@
 		KeyAffinity: true, Subscribe: true, MaxAttempts: c.Attempts, CanCancel: true, CanHedge: true, RetryAfter: c.Advice, CallInterval: 2 * time.Millisecond, IdleTimeout: s.Idle * 9 / 10,
 		InitialCapacity: 0.12, WarmUpTime: 23 * time.Second, WarmUpOverloadMultiple: s.TipAt,
 	}
-	effects := map[audit.Effect]balance.Idempotency{audit.Repeat: balance.Idempotent, audit.Keyed: balance.IdempotentWithKey, audit.Once: balance.NonIdempotent}
+	effects := map[invariant.Effect]balance.Idempotency{invariant.Idempotent: balance.Idempotent, invariant.IdempotentWithKey: balance.IdempotentWithKey, invariant.NonIdempotent: balance.NonIdempotent}
 	for _, k := range w.asked {
 		b := balance.Class{Name: k.Name, LatencyObjective: k.Aim, Deadline: k.Deadline, PriorityWeight: k.Worth, Idempotency: effects[k.Effect]}
-		if k.Effect == audit.Keyed {
+		if k.Effect == invariant.IdempotentWithKey {
 			b.DedupScope, b.DedupWindow = balance.ScopeCell, s.Window
 		}
 		set.Classes = append(set.Classes, b)
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{inst: in, epoch: w.log.Epoch(in.name), mod: bal, calls: map[string]*call{}, hosts: map[string]*host{}}
+	p := &process{inst: in, epoch: w.log.Restarts(in.name), mod: bal, calls: map[string]*call{}, hosts: map[string]*host{}}
 	if w.opt.Wrap != nil {
 		p.mod = w.opt.Wrap(bal)
 	}
@@ -339,7 +339,7 @@
 	switch how {
 	case experiment.Kill:
 		old.listening = false
-		w.log.Dying(in.name)
+		w.log.KillAnnounced(in.name)
 		old.kill()
 		w.log.Killed(in.name, w.loop.now)
 		w.loop.in(startTakes, begin)
--- a/internal/sidecar/entrypoint/main_test.go
+++ b/internal/sidecar/entrypoint/main_test.go
@@ -86,8 +86,8 @@
 	play(in)
 	<-done
 	rep := w.Log.Report()
-	if rep.Broken() || rep.Asked < len(plan) {
-		t.Errorf("%s: %v", rep.Line(), rep.Problems)
+	if rep.Violated() || rep.Requests < len(plan) {
+		t.Errorf("%s: %v", rep.Summary(), rep.Violations)
 	}
 	if n := cl.RefusedConns(); n > 0 {
 		t.Errorf("%d connections refused", n)
@@ -304,8 +304,8 @@
 		t.Error(err)
 	}
 	<-done
-	if rep := w.Log.Report(); rep.Broken() || rep.Served == 0 {
-		t.Errorf("%s: %v", rep.Line(), rep.Problems)
+	if rep := w.Log.Report(); rep.Violated() || rep.Served == 0 {
+		t.Errorf("%s: %v", rep.Summary(), rep.Violations)
 	}
 }
 
@@ -342,8 +342,8 @@
 		t.Error(err)
 	}
 	rep := w.Log.Report()
-	if rep.Broken() || rep.Refused-began.Refused < 1 || rep.Failed < 2 {
-		t.Errorf("%s: %v", rep.Line(), rep.Problems)
+	if rep.Violated() || rep.Rejected-began.Rejected < 1 || rep.Failed < 2 {
+		t.Errorf("%s: %v", rep.Summary(), rep.Violations)
 	}
 	w.Close()
 	<-done
@@ -360,7 +360,7 @@
 	t.Cleanup(lag.Close)
 	during(t, w, 50, 5*time.Second, func(in *rig.Instance) {
 		w.Drain(w.Servers[0])
-		for w.Log.Away(in.Name, w.Servers[0].Name(), 1) == 0 {
+		for w.Log.RemovalNotifiedAt(in.Name, w.Servers[0].Name(), 1) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		// Two reloads, the second within the first.
