--- /dev/null
+++ b/internal/coap/server/observe.go
@@ -0,0 +1,214 @@
+package server
+
+import (
+	"net/netip"
+	"time"
+
+	"otterspring/internal/coap/message"
+)
+
+const (
+	// observeRegister is the value of the Observe option that begins an observation
+	// (RFC 7641, section 2).
+	observeRegister = 0
+	// sequenceMask keeps the sequence number of notifications to its 24 bits.
+	sequenceMask = 0xffffff
+)
+
+// observation is a client's observation of a resource (RFC 7641). The resource is polled
+// every ObserveInterval; the client is notified when the response has changed.
+type observation struct {
+	key          observationKey
+	message      message.Message // the registration
+	request      Request
+	class        Class
+	accept       int
+	etag         string // of the last notification
+	sequence     uint32 // of the last notification
+	due          time.Duration
+	polling      bool
+	notification uint64 // handle of the last notification's exchange, 0 for none
+	previous     *observation
+	next         *observation
+}
+
+// observationKey identifies an observation by endpoint and token (RFC 7641, section 3.1).
+type observationKey struct {
+	peer  netip.AddrPort
+	token string
+}
+
+// observationQueue holds all observations in the order in which they are due: each goes to
+// the end when it is polled, and all have the same interval.
+type observationQueue struct {
+	byKey          map[observationKey]*observation
+	byNotification map[uint64]*observation
+	first, last    *observation
+}
+
+func newObservationQueue() observationQueue {
+	return observationQueue{byKey: map[observationKey]*observation{}, byNotification: map[uint64]*observation{}}
+}
+
+func (q *observationQueue) unlink(obs *observation) {
+	if obs.previous != nil {
+		obs.previous.next = obs.next
+	} else {
+		q.first = obs.next
+	}
+	if obs.next != nil {
+		obs.next.previous = obs.previous
+	} else {
+		q.last = obs.previous
+	}
+	obs.previous, obs.next = nil, nil
+}
+
+// pushBack puts an observation last.
+func (q *observationQueue) pushBack(obs *observation, due time.Duration) {
+	obs.due, obs.previous = due, q.last
+	if q.last != nil {
+		q.last.next = obs
+	} else {
+		q.first = obs
+	}
+	q.last = obs
+}
+
+func (q *observationQueue) remove(obs *observation) {
+	if q.byKey[obs.key] != obs {
+		return
+	}
+	delete(q.byKey, obs.key)
+	delete(q.byNotification, obs.notification)
+	q.unlink(obs)
+}
+
+// nextDue returns when the first observation is due; false for none.
+func (q *observationQueue) nextDue() (time.Duration, bool) {
+	if q.first == nil {
+		return 0, false
+	}
+	return q.first.due, true
+}
+
+// observe begins or ends an observation. At the limit, or with another value, the request
+// is answered without the option, which tells the client that it is not registered.
+func (s *Server) observe(now time.Duration, exec *execution, value uint32, request Request) {
+	key := observationKey{exec.peer, string(exec.message.Token)}
+	old := s.observations.byKey[key]
+	if old != nil {
+		s.observations.remove(old)
+	}
+	if value != observeRegister || s.draining {
+		return
+	}
+	// A forged source could have another one flooded with notifications.
+	if !exec.freshEcho && !s.trusted(exec.peer) || len(s.observations.byKey) >= s.settings.MaxObservers {
+		if s.settings.MaxObservers > 0 {
+			s.counts.LimitRejections++
+		}
+		return
+	}
+	obs := &observation{key: key, message: exec.message, request: request, class: exec.class, accept: exec.accept}
+	if old != nil {
+		obs.sequence = old.sequence
+	}
+	s.observations.byKey[key] = obs
+	s.observations.pushBack(obs, now+s.settings.ObserveInterval)
+	exec.observation = obs
+}
+
+// acceptObservation adds the Observe option to the response to a registration. An error
+// ends the observation (RFC 7641, section 4.2).
+func (s *Server) acceptObservation(exec *execution, response Response, msg *message.Message) {
+	obs := exec.observation
+	if s.observations.byKey[obs.key] != obs {
+		return
+	}
+	if msg.Code != message.Content && msg.Code != message.Valid {
+		s.observations.remove(obs)
+		return
+	}
+	obs.markNotified(response, msg)
+}
+
+// markNotified adds the Observe option with the next sequence number.
+func (obs *observation) markNotified(response Response, msg *message.Message) {
+	obs.etag = string(entityTag(response.Body))
+	obs.sequence++
+	msg.AddUint(message.Observe, obs.sequence&sequenceMask)
+}
+
+// EndObservations notifies every observer that its observation has ended, so that it
+// registers again, with the process that has the address by then.
+func (s *Server) EndObservations(now time.Duration, actions []Action) []Action {
+	s.actions = actions
+	for obs := s.observations.first; obs != nil; obs = s.observations.first {
+		sent, _, err := s.exchanges.Notify(now, obs.key.peer, []byte(obs.key.token), rejection(message.ServiceUnavailable, 0), nil)
+		if err == nil { // else the observer learns it from its own timeout
+			s.execute(now, sent, 0)
+		}
+		s.observations.remove(obs)
+	}
+	return s.takeActions()
+}
+
+// cancelObservation ends the observation whose notification the client has rejected (RFC
+// 7641, section 3.6).
+func (s *Server) cancelObservation(notification uint64) {
+	if obs := s.observations.byNotification[notification]; obs != nil {
+		s.observations.remove(obs)
+	}
+}
+
+// poll submits a request for each observation that is due.
+func (s *Server) poll(now time.Duration) {
+	for obs := s.observations.first; obs != nil && obs.due <= now; obs = s.observations.first {
+		s.observations.unlink(obs)
+		s.observations.pushBack(obs, now+s.settings.ObserveInterval)
+		if obs.polling || s.draining {
+			continue
+		}
+		obs.polling = true
+		request := obs.request
+		request.ID = "" // each poll is a request with its own ID
+		s.submit(&execution{peer: obs.key.peer, message: obs.message, class: obs.class, observation: obs, accept: obs.accept}, request)
+	}
+}
+
+// handlePollResponse notifies an observer if the response has changed. A failure does not
+// end the observation: the next poll may succeed.
+func (s *Server) handlePollResponse(now time.Duration, exec *execution, response Response) {
+	obs := exec.observation
+	obs.polling = false
+	if s.observations.byKey[obs.key] != obs || response.Outcome != Succeeded || string(entityTag(response.Body)) == obs.etag {
+		return
+	}
+	// One notification at a time: the next poll has the latest state (RFC 7641, section
+	// 4.5.2).
+	if obs.notification != 0 && s.exchanges.NotificationPending(obs.notification) {
+		return
+	}
+	msg := responseMessage(exec, response)
+	if msg.Code != message.Content {
+		return
+	}
+	obs.markNotified(response, &msg)
+	if size := s.settings.Blocks.MaxBlockSize; len(msg.Payload) > size {
+		// RFC 7959, section 2.6: only the first block; the client fetches the others.
+		msg.AddBlock(message.Block2, message.Block{More: true, Size: size})
+		msg.AddUint(message.Size2, uint32(len(msg.Payload)))
+		msg.Payload = msg.Payload[:size]
+	}
+	delete(s.observations.byNotification, obs.notification)
+	actions, handle, err := s.exchanges.Notify(now, obs.key.peer, []byte(obs.key.token), msg, nil)
+	if err != nil {
+		s.observations.remove(obs)
+		return
+	}
+	obs.notification = handle
+	s.observations.byNotification[handle] = obs
+	s.counts.Notifications++
+	s.execute(now, actions, 0)
+}
