--- a/internal/lab/standin/callserver/coap.go
+++ b/internal/lab/standin/callserver/coap.go
@@ -14,7 +14,7 @@
 	"otterspring/internal/coap/exchange"
 	"otterspring/internal/coap/message"
 	"otterspring/internal/coap/server"
-	"otterspring/internal/lab/audit"
+	"otterspring/internal/lab/invariant"
 )
 
 // coapScheme stands before the address of a server that speaks CoAP.
@@ -45,7 +45,7 @@
 	key := make([]byte, 32)
 	rand.Read(key)
 	classes := map[string]server.Class{}
-	effects := map[audit.Effect]server.Idempotency{audit.Repeat: server.Idempotent, audit.Keyed: server.IdempotentWithKey, audit.Once: server.NonIdempotent}
+	effects := map[invariant.Effect]server.Idempotency{invariant.Idempotent: server.Idempotent, invariant.IdempotentWithKey: server.IdempotentWithKey, invariant.NonIdempotent: server.NonIdempotent}
 	for name, c := range s.classes {
 		classes[name] = server.Class{Idempotency: effects[c.Effect], Deadline: time.Hour}
 	}
