--- a/internal/sidecar/coapserver/format_test.go
+++ b/internal/sidecar/coapserver/format_test.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
+	"net"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -138,6 +139,28 @@
 	return state
 }
 
+// ping sends an empty message, which a server that serves resets: Close must not come
+// before Serve has begun.
+func ping(t *testing.T, server *Server) {
+	t.Helper()
+	conn, err := net.Dial("udp", server.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Write([]byte{0x40, 0, 0x12, 0x34}); err != nil {
+		t.Fatal(err)
+	}
+	answer := make([]byte, 16)
+	n, err := conn.Read(answer)
+	if err != nil || string(answer[:n]) != "\x70\x00\x12\x34" {
+		t.Fatalf("found % x and %v, wanted a reset", answer[:n], err)
+	}
+}
+
 // TestHandoverStateOfAnEarlierVersion takes the state that a process of an earlier
 // version has handed over, and hands the same one on.
 func TestHandoverStateOfAnEarlierVersion(t *testing.T) {
@@ -148,8 +171,10 @@
 	successor := start(t, up, func(s *Settings) {
 		s.Listen, s.Conn, s.Protocol.HistoryKnown, s.Protocol.Limits.MaxCompletedUnsafe = predecessor.Addr(), conn, false, 16
 	})
+	ping(t, predecessor)
 	predecessor.HandOver()
 	successor.Inherit(text)
+	ping(t, successor)
 	got, want := parseHandover(t, successor.HandOver()), parseHandover(t, text)
 	if got.uncertainFor != want.uncertainFor || got.magic != want.magic || got.key != want.key || len(got.entries) != 1 || len(want.entries) != 1 {
 		t.Fatalf("found %+v, wanted %+v", got, want)
